--- a/src/main/kotlin/umberslip/actor/Actor.kt
+++ b/src/main/kotlin/umberslip/actor/Actor.kt
@@ -9,18 +9,13 @@
 import java.util.concurrent.atomic.AtomicInteger
 import kotlin.time.Duration
 
-/** The steady clock, as the time passed since some fixed moment of this process. */
-fun interface Clock {
-    fun now(): Duration
-}
-
 /**
  * Owns its state and is spoken to by messages only.
  *
  * What comes from outside is bounded: a sender whose message does not fit is told so and decides for
- * itself (a front door answers 503, a worker's report is refused), so no queue grows without limit.
+ * itself (a front door answers 503, a worker's heartbeat is refused), so no queue grows without limit.
  * What the controller's own parts owe one another always has room: there is a bounded number of it, and
- * an outcome, a change of the records or of ownership that went missing would never be made good.
+ * an outcome, a change of the records or of leadership that went missing would never be made good.
  */
 abstract class Actor<M : Any>(
     private val name: String,
@@ -32,10 +27,10 @@
     private val queued = AtomicInteger()
 
     /** For what comes from outside, or is a hint; false where the mailbox is full. */
-    fun tell(message: M): Boolean = queued.get() < capacity && post(message)
+    fun trySend(message: M): Boolean = queued.get() < capacity && enqueue(message)
 
     /** For what must not be lost; false only once the actor has ended. */
-    fun post(message: M): Boolean {
+    fun enqueue(message: M): Boolean {
         if (!mailbox.trySend(message).isSuccess) return false
         queued.incrementAndGet()
         return true
--- a/src/main/kotlin/umberslip/agents/Reports.kt
+++ b/src/main/kotlin/umberslip/agents/Heartbeat.kt
@@ -1,20 +1,20 @@
 package umberslip.agents
 
-import umberslip.cloud.HostName
+import umberslip.core.MachineName
+import umberslip.core.TaskId
+import umberslip.core.Term
 import umberslip.http.Documents
-import umberslip.http.Malformed
+import umberslip.http.MalformedMessageException
 import umberslip.http.Streamed
-import umberslip.records.TaskId
-import umberslip.records.Term
 
 enum class TaskState(
     val word: String,
 ) {
     FETCHING("fetching"),
-    GATHERING("gathering"),
+    WAITING_FOR_GANG("gathering"),
     RUNNING("running"),
-    SAVING("saving"),
-    ENDED("ended"),
+    CHECKPOINTING("saving"),
+    EXITED("ended"),
     ;
 
     companion object {
@@ -22,22 +22,22 @@
     }
 }
 
-enum class Cause(
+enum class ExitCause(
     val word: String,
 ) {
     DONE("done"),
-    HALTED("halted"),
-    PEERS("peers"),
-    ALONE("alone"),
+    STOPPED("halted"),
+    GANG_MEMBER_LOST("peers"),
+    GANG_INCOMPLETE("alone"),
     ERROR("error"),
-    FULL("full"),
-    BUSY("busy"),
+    MACHINE_FULL("full"),
+    ALREADY_PRESENT("busy"),
     UNKNOWN("unknown"),
     ;
 
     companion object {
         /** A cause from a later protocol counts as a failure of no known kind. */
-        fun of(word: String?): Cause = entries.find { it.word == word } ?: ERROR
+        fun of(word: String?): ExitCause = entries.find { it.word == word } ?: ERROR
     }
 }
 
@@ -45,67 +45,67 @@
     val task: TaskId,
     val attempt: Long,
     val status: TaskState,
-    val cause: Cause?,
+    val cause: ExitCause?,
     val saved: Boolean,
 )
 
 /** Which report of its machine one is: a session, and a number within it. The larger is the newer. */
-data class Mark(
+data class HeartbeatVersion(
     val session: Long,
-    val counter: Long,
-) : Comparable<Mark> {
-    override fun compareTo(other: Mark): Int = compareValuesBy(this, other, Mark::session, Mark::counter)
+    val sequenceNumber: Long,
+) : Comparable<HeartbeatVersion> {
+    override fun compareTo(other: HeartbeatVersion): Int = compareValuesBy(this, other, HeartbeatVersion::session, HeartbeatVersion::sequenceNumber)
 
     /** The worker sent nothing in between. */
-    fun follows(other: Mark): Boolean = session == other.session && counter == other.counter + 1
+    fun follows(other: HeartbeatVersion): Boolean = session == other.session && sequenceNumber == other.sequenceNumber + 1
 }
 
 /** What a worker says of its machine. */
-data class Report(
-    val host: HostName,
+data class Heartbeat(
+    val machineName: MachineName,
     val type: String,
     val zone: String,
     val spot: Boolean,
-    val mark: Mark,
-    val token: Term,
+    val heartbeatVersion: HeartbeatVersion,
+    val fencingToken: Term,
     val warningSeconds: Double?,
     val tasks: List<ReportedTask>,
 ) {
     companion object {
         /** Hundreds come every second, each with all that is on a machine, so they are read as they stream by. */
-        fun parse(body: ByteArray): Report = Documents.readCbor(body, ::read)
+        fun parse(body: ByteArray): Heartbeat = Documents.readCbor(body, ::read)
 
-        private fun read(s: Streamed): Report {
-            var host: String? = null
+        private fun read(s: Streamed): Heartbeat {
+            var machineName: String? = null
             var type: String? = null
             var zone: String? = null
             var spot = false
             var session: Long? = null
-            var counter: Long? = null
-            var token: Long? = null
+            var sequenceNumber: Long? = null
+            var fencingToken: Long? = null
             var warning: Double? = null
             val tasks = ArrayList<ReportedTask>()
             s.map { name ->
                 when (name) {
-                    "host" -> host = s.text(name)
+                    "host" -> machineName = s.text(name)
                     "hosttype" -> type = s.text(name)
                     "hall" -> zone = s.text(name)
                     "reclaimable" -> if (!s.isNull) spot = s.flag(name)
                     "shift" -> session = s.long(name)
-                    "counter" -> counter = s.long(name)
-                    "warrant" -> token = s.long(name)
+                    "counter" -> sequenceNumber = s.long(name)
+                    "warrant" -> fencingToken = s.long(name)
                     "warning_s" -> if (!s.isNull) warning = s.number(name)
                     "pieces" -> s.list { tasks += piece(s) }
                     else -> s.skip()
                 }
             }
-            return Report(
-                HostName(there(host, "host").ifEmpty { throw Malformed("host is empty") }),
+            return Heartbeat(
+                MachineName(there(machineName, "host").ifEmpty { throw MalformedMessageException("host is empty") }),
                 there(type, "hosttype"),
                 there(zone, "hall"),
                 spot,
-                Mark(there(session, "shift"), there(counter, "counter")),
-                Term(there(token, "warrant")),
+                HeartbeatVersion(there(session, "shift"), there(sequenceNumber, "counter")),
+                Term(there(fencingToken, "warrant")),
                 warning,
                 tasks,
             )
@@ -119,9 +119,9 @@
             var saved = false
             s.map { name ->
                 when (name) {
-                    "piece" -> task = TaskId.parse(s.text(name)) ?: throw Malformed("piece is not a task id")
+                    "piece" -> task = TaskId.parse(s.text(name)) ?: throw MalformedMessageException("piece is not a task id")
                     "try" -> attempt = s.long(name)
-                    "status" -> status = TaskState.of(s.text(name)) ?: throw Malformed("unknown status of a piece")
+                    "status" -> status = TaskState.of(s.text(name)) ?: throw MalformedMessageException("unknown status of a piece")
                     "cause" -> if (!s.isNull) cause = s.text(name)
                     "saved" -> if (!s.isNull) saved = s.flag(name)
                     else -> s.skip()
@@ -132,7 +132,7 @@
                 there(task, "piece"),
                 there(attempt, "try"),
                 state,
-                if (state == TaskState.ENDED) Cause.of(cause) else null,
+                if (state == TaskState.EXITED) ExitCause.of(cause) else null,
                 saved,
             )
         }
@@ -140,12 +140,12 @@
         private fun <T : Any> there(
             value: T?,
             name: String,
-        ): T = value ?: throw Malformed("$name is missing")
+        ): T = value ?: throw MalformedMessageException("$name is missing")
     }
 }
 
 /** A command to a worker. */
-sealed interface Order {
+sealed interface WorkerCommand {
     val task: TaskId
     val attempt: Long
 
@@ -154,28 +154,28 @@
     data class Start(
         override val task: TaskId,
         override val attempt: Long,
-    ) : Order {
+    ) : WorkerCommand {
         override fun toMap() = mapOf("verb" to "start", "piece" to task.toString(), "try" to attempt)
     }
 
     data class Stop(
         override val task: TaskId,
         override val attempt: Long,
-        val windDownSeconds: Double,
-    ) : Order {
+        val gracePeriodSeconds: Double,
+    ) : WorkerCommand {
         override fun toMap() =
             mapOf(
                 "verb" to "stop",
                 "piece" to task.toString(),
                 "try" to attempt,
-                "wind_down_s" to windDownSeconds,
+                "wind_down_s" to gracePeriodSeconds,
             )
     }
 
     data class Clear(
         override val task: TaskId,
         override val attempt: Long,
-    ) : Order {
+    ) : WorkerCommand {
         override fun toMap() = mapOf("verb" to "clear", "piece" to task.toString(), "try" to attempt)
     }
 }
--- a/src/main/kotlin/umberslip/admission/Admission.kt
+++ b/src/main/kotlin/umberslip/api/JobApi.kt
@@ -1,4 +1,4 @@
-package umberslip.admission
+package umberslip.api
 
 import com.github.benmanes.caffeine.cache.Cache
 import com.github.benmanes.caffeine.cache.Caffeine
@@ -7,92 +7,92 @@
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.launch
 import umberslip.actor.Actor
-import umberslip.actor.Clock
-import umberslip.cloud.Flavor
+import umberslip.cloud.InstanceType
+import umberslip.core.Clock
+import umberslip.core.JobId
+import umberslip.core.JobSpec
+import umberslip.core.Shape
 import umberslip.http.Documents
-import umberslip.http.NoAnswer
+import umberslip.http.NoResponseException
+import umberslip.http.RateLimitedException
 import umberslip.http.Response
-import umberslip.http.Throttled
-import umberslip.http.Unavailable
+import umberslip.http.ServiceUnavailableException
 import umberslip.records.DependencyState
-import umberslip.records.End
-import umberslip.records.EndRecord
-import umberslip.records.JobId
+import umberslip.records.JobOutcome
 import umberslip.records.JobRecord
-import umberslip.records.JobSpec
 import umberslip.records.Keys
-import umberslip.records.Reader
+import umberslip.records.OutcomeRecord
 import umberslip.records.RecordView
-import umberslip.records.Shape
+import umberslip.records.RecordWatcher
 import umberslip.records.Versioned
 import umberslip.settings.Settings
 import umberslip.settings.TeamSettings
-import umberslip.state.Guard
-import umberslip.state.Pacer
-import umberslip.state.StateService
-import umberslip.state.TxnResult
-import umberslip.state.Version
-import umberslip.state.Write
+import umberslip.store.KeyValueStore
+import umberslip.store.Precondition
+import umberslip.store.RateLimiter
+import umberslip.store.TransactionResult
+import umberslip.store.Version
+import umberslip.store.Write
 import java.time.Instant
 import kotlin.time.Duration.Companion.seconds
 
-sealed interface AdmissionMessage {
+sealed interface JobApiMessage {
     class Submit(
         val spec: JobSpec,
         val respond: (Response) -> Unit,
-    ) : AdmissionMessage
+    ) : JobApiMessage
 
     class Status(
         val id: JobId,
         val respond: (Response) -> Unit,
-    ) : AdmissionMessage
+    ) : JobApiMessage
 
     class Cancel(
         val id: JobId,
         val respond: (Response) -> Unit,
-    ) : AdmissionMessage
+    ) : JobApiMessage
 
-    class Flavors(
-        val all: List<Flavor>,
-    ) : AdmissionMessage
+    class InstanceTypesChanged(
+        val all: List<InstanceType>,
+    ) : JobApiMessage
 
     class Created(
-        val group: List<Creation>,
-    ) : AdmissionMessage
+        val group: List<PendingSubmission>,
+    ) : JobApiMessage
 
     class Answered(
         val respond: (Response) -> Unit,
         val response: Response,
-    ) : AdmissionMessage
+    ) : JobApiMessage
 }
 
-/** A submission on its way into the state service; [bytes] is the size of its record there. */
-class Creation(
+/** A submission on its way into the key-value store; [bytes] is the size of its record there. */
+class PendingSubmission(
     val record: JobRecord,
     val bytes: Int,
-    val answer: CompletableDeferred<CreateResult>,
+    val answer: CompletableDeferred<SubmissionResult>,
 ) {
     val id: JobId get() = record.spec.id
 }
 
-enum class CreateResult { CREATED, KNOWN, UNDECIDED }
+enum class SubmissionResult { CREATED, KNOWN, UNDECIDED }
 
 /** Why a job can never run, or null; pure. */
 object Feasibility {
     fun objection(
         spec: JobSpec,
         teams: Map<String, TeamSettings>,
-        flavors: List<Flavor>,
+        instanceTypes: List<InstanceType>,
         zones: List<String>,
     ): String? {
         val team = teams[spec.team] ?: return "unknown team"
         val all = if (spec.shape == Shape.ARRAY) 1 else spec.tasks
         if (team.cpusMax != null && spec.cpus * all > team.cpusMax + EPSILON) return "needs more than the team's limit"
         if (team.gpusMax != null && spec.gpus * all > team.gpusMax + EPSILON) return "needs more than the team's limit"
-        if (spec.zone != null && spec.zone !in zones && flavors.none { spec.zone in it.zones }) return "no such zone"
+        if (spec.zone != null && spec.zone !in zones && instanceTypes.none { spec.zone in it.zones }) return "no such zone"
         val fits =
-            flavors.any {
-                (spec.types == null || it.label in spec.types) &&
+            instanceTypes.any {
+                (spec.instanceTypes == null || it.label in spec.instanceTypes) &&
                     (spec.zone == null || it.zones.isEmpty() || spec.zone in it.zones) &&
                     spec.cpus <= it.cpus + EPSILON &&
                     spec.gpus <= it.gpus + EPSILON &&
@@ -104,44 +104,44 @@
     private const val EPSILON = 1e-6
 }
 
-/** The users' door: every controller has one, whoever owns. */
-class Admission(
+/** The users' door: every controller has one, whoever leads. */
+class JobApi(
     private val scope: CoroutineScope,
     private val settings: Settings,
-    private val state: StateService,
-    private val writes: Pacer,
-    private val reader: Reader,
+    private val store: KeyValueStore,
+    private val writes: RateLimiter,
+    private val recordWatcher: RecordWatcher,
     private val clock: Clock,
     private val wallClock: () -> Instant,
     private val announce: () -> Unit,
     private val ready: () -> Boolean,
     metrics: MeterRegistry,
-) : Actor<AdmissionMessage>("admission", scope, DEFAULT_CAPACITY + settings.sockets) {
+) : Actor<JobApiMessage>("admission", scope, DEFAULT_CAPACITY + settings.sockets) {
     private val teams = settings.teams.associateBy { it.name }
-    private val ends: Cache<JobId, EndRecord> =
+    private val ends: Cache<JobId, OutcomeRecord> =
         Caffeine
             .newBuilder()
             .maximumSize(20_000)
             .executor(Runnable::run)
             .build()
-    private var flavors: List<Flavor>? = null
-    private val queue = ArrayDeque<Creation>()
+    private var instanceTypes: List<InstanceType>? = null
+    private val queue = ArrayDeque<PendingSubmission>()
     private var creating = false
     private var open = 0
     private val accepted = metrics.counter("umberslip.jobs.accepted")
     private val refused = metrics.counter("umberslip.requests.refused")
 
-    override suspend fun receive(message: AdmissionMessage) {
+    override suspend fun receive(message: JobApiMessage) {
         when (message) {
-            is AdmissionMessage.Flavors -> flavors = message.all
-            is AdmissionMessage.Submit -> submit(message)
-            is AdmissionMessage.Status -> answer(message.respond) { currentStatus(message.id) }
-            is AdmissionMessage.Cancel -> answer(message.respond) { cancel(message.id) }
-            is AdmissionMessage.Created -> {
+            is JobApiMessage.InstanceTypesChanged -> instanceTypes = message.all
+            is JobApiMessage.Submit -> submit(message)
+            is JobApiMessage.Status -> answer(message.respond) { currentStatus(message.id) }
+            is JobApiMessage.Cancel -> answer(message.respond) { cancel(message.id) }
+            is JobApiMessage.Created -> {
                 creating = false
                 create()
             }
-            is AdmissionMessage.Answered -> {
+            is JobApiMessage.Answered -> {
                 open--
                 message.respond(message.response)
             }
@@ -163,12 +163,12 @@
             val response =
                 try {
                     find()
-                } catch (e: Unavailable) {
+                } catch (e: ServiceUnavailableException) {
                     undecided()
-                } catch (e: NoAnswer) {
+                } catch (e: NoResponseException) {
                     undecided()
                 }
-            post(AdmissionMessage.Answered(respond, response))
+            enqueue(JobApiMessage.Answered(respond, response))
         }
     }
 
@@ -178,7 +178,7 @@
         return Response.later(1, "the state service gives no answer", close = !ready())
     }
 
-    private fun submit(message: AdmissionMessage.Submit) {
+    private fun submit(message: JobApiMessage.Submit) {
         val spec = message.spec
         ends.getIfPresent(spec.id)?.let {
             message.respond(told(200, spec.id, it))
@@ -188,9 +188,9 @@
             if (spec.team !in teams) {
                 "unknown team"
             } else {
-                flavors?.let { Feasibility.objection(spec, teams, it, settings.zones) }
+                instanceTypes?.let { Feasibility.objection(spec, teams, it, settings.zones) }
             }
-        if (objection == null && flavors == null) {
+        if (objection == null && instanceTypes == null) {
             refused.increment()
             message.respond(Response.later(1, "the machine types are not known yet"))
             return
@@ -208,12 +208,12 @@
         objection: String?,
     ): Response {
         val record = JobRecord(spec, wallClock(), cancelled = false)
-        val creation = Creation(record, Documents.jsonSize(record.toMap()), CompletableDeferred())
-        val tooLarge = creation.bytes > settings.stateLimits.valueBytes
+        val creation = PendingSubmission(record, Documents.jsonSize(record.toMap()), CompletableDeferred())
+        val tooLarge = creation.bytes > settings.storeLimits.valueBytes
         var dependencyCancelled = false
-        if (objection != null || tooLarge || spec.awaits.isNotEmpty()) {
+        if (objection != null || tooLarge || spec.dependencies.isNotEmpty()) {
             // A job that was accepted once is never refused later, whatever the machine types and limits are by then.
-            val records = reader.confirm() ?: return undecided()
+            val records = recordWatcher.confirm() ?: return undecided()
             status(spec.id, records).let { if (it.status != 404) return it }
             if (tooLarge) return Response.error(400, "the job's description is too large")
             (objection ?: neverDone(spec, records))?.let { return Response.error(422, it) }
@@ -222,13 +222,13 @@
         queue.addLast(creation)
         create()
         return when (creation.answer.await()) {
-            CreateResult.CREATED -> {
+            SubmissionResult.CREATED -> {
                 accepted.increment()
-                val status = if (dependencyCancelled) End.CANCELLED.word else "queued"
+                val status = if (dependencyCancelled) JobOutcome.CANCELLED.word else "queued"
                 Response(201, mapOf("uid" to spec.id.value, "status" to status))
             }
-            CreateResult.KNOWN -> status(spec.id)
-            CreateResult.UNDECIDED -> undecided()
+            SubmissionResult.KNOWN -> status(spec.id)
+            SubmissionResult.UNDECIDED -> undecided()
         }
     }
 
@@ -237,7 +237,7 @@
         spec: JobSpec,
         records: RecordView,
     ): String? {
-        for (id in spec.awaits) {
+        for (id in spec.dependencies) {
             if (id == spec.id) return "awaits itself"
             val needed = records.job(id)?.value
             if (needed == null && end(id) == null) return "awaits ${id.value}, which was never accepted"
@@ -250,63 +250,63 @@
     private fun create() {
         if (creating || queue.isEmpty()) return
         creating = true
-        val group = ArrayList<Creation>()
+        val group = ArrayList<PendingSubmission>()
         var size = 0
-        while (group.size < settings.stateLimits.txnOps && queue.isNotEmpty()) {
-            size += queue.first().bytes + GUARD_BYTES
-            if (group.isNotEmpty() && size > MAX_TXN_BYTES) break
+        while (group.size < settings.storeLimits.transactionOps && queue.isNotEmpty()) {
+            size += queue.first().bytes + PRECONDITION_BYTES
+            if (group.isNotEmpty() && size > MAX_TRANSACTION_BYTES) break
             group += queue.removeFirst()
         }
         scope.launch {
             try {
                 write(group)
             } finally {
-                group.forEach { it.answer.complete(CreateResult.UNDECIDED) }
-                post(AdmissionMessage.Created(group))
+                group.forEach { it.answer.complete(SubmissionResult.UNDECIDED) }
+                enqueue(JobApiMessage.Created(group))
             }
         }
     }
 
-    private suspend fun write(group: List<Creation>) {
+    private suspend fun write(group: List<PendingSubmission>) {
         var left = group.distinctBy { it.id }
-        (group - left.toSet()).forEach { it.answer.complete(CreateResult.UNDECIDED) }
+        (group - left.toSet()).forEach { it.answer.complete(SubmissionResult.UNDECIDED) }
         while (left.isNotEmpty()) {
             writes.take(left.size, urgent = false)
             val result =
                 try {
-                    state.txn(
+                    store.compareAndSwap(
                         left.flatMap {
-                            listOf(Guard(Keys.job(it.id), Version.NONE), Guard(Keys.end(it.id), Version.NONE))
+                            listOf(Precondition(Keys.job(it.id), Version.NONE), Precondition(Keys.outcome(it.id), Version.NONE))
                         },
                         left.map { Write.Put(Keys.job(it.id), it.record.toMap()) },
                     )
-                } catch (e: Throttled) {
+                } catch (e: RateLimitedException) {
                     writes.lower()
                     log.debug("not accepted: {}", e.message)
                     return
-                } catch (e: Unavailable) {
+                } catch (e: ServiceUnavailableException) {
                     log.debug("not accepted: {}", e.message)
                     return
-                } catch (e: NoAnswer) {
+                } catch (e: NoResponseException) {
                     // Accepted or not: the user's next try will show.
                     log.info("the fate of {} submissions is unknown: {}", left.size, e.message)
                     return
                 }
             when (result) {
-                is TxnResult.Applied -> {
-                    left.forEach { it.answer.complete(CreateResult.CREATED) }
+                is TransactionResult.Applied -> {
+                    left.forEach { it.answer.complete(SubmissionResult.CREATED) }
                     announce()
                     return
                 }
-                is TxnResult.Refused -> {
+                is TransactionResult.PreconditionFailed -> {
                     val (known, rest) =
-                        left.partition { Keys.job(it.id) in result.failed || Keys.end(it.id) in result.failed }
-                    known.forEach { it.answer.complete(CreateResult.KNOWN) }
+                        left.partition { Keys.job(it.id) in result.failed || Keys.outcome(it.id) in result.failed }
+                    known.forEach { it.answer.complete(SubmissionResult.KNOWN) }
                     if (known.isEmpty()) return
                     left = rest
                 }
-                TxnResult.NoLease -> return
-                is TxnResult.Rejected -> {
+                TransactionResult.LeaseExpired -> return
+                is TransactionResult.Rejected -> {
                     log.error("{} submissions are too large or malformed together: {}", left.size, result.why)
                     return
                 }
@@ -327,7 +327,7 @@
     /** The job's state as of a read begun after the request came; ends may come from the cache. */
     private suspend fun status(id: JobId): Response {
         ends.getIfPresent(id)?.let { return told(200, id, it) }
-        return status(id, reader.confirm() ?: return undecided())
+        return status(id, recordWatcher.confirm() ?: return undecided())
     }
 
     private suspend fun status(
@@ -359,18 +359,18 @@
 
     /**
      * Whether a job that this one needs, directly or through others, is cancelled. The job is then cancelled as well,
-     * from the moment that this was told and without a record of its own; the owner writes its end later.
+     * from the moment that this was told and without a record of its own; the leader writes its end later.
      */
     private suspend fun isDependencyCancelled(
         job: JobRecord,
         records: RecordView,
     ): Boolean {
-        if (job.spec.awaits.isEmpty()) return false
+        if (job.spec.dependencies.isEmpty()) return false
         val unknown = HashSet<JobId>()
         while (true) {
             val lineage =
                 DependencyState.of(job, { records.job(it)?.value }) {
-                    if (it in unknown) End.DONE else ends.getIfPresent(it)?.end
+                    if (it in unknown) JobOutcome.DONE else ends.getIfPresent(it)?.end
                 }
             when (lineage) {
                 DependencyState.Cancelled -> return true
@@ -380,17 +380,17 @@
         }
     }
 
-    private fun cancelled(job: JobRecord) = EndRecord(End.CANCELLED, job.spec.tasks)
+    private fun cancelled(job: JobRecord) = OutcomeRecord(JobOutcome.CANCELLED, job.spec.tasks)
 
-    private suspend fun end(id: JobId): EndRecord? {
-        val entry = state.lookUp(Keys.end(id)) ?: return null
-        return EndRecord.parse(entry.data).also { ends.put(id, it) }
+    private suspend fun end(id: JobId): OutcomeRecord? {
+        val entry = store.lookUp(Keys.outcome(id)) ?: return null
+        return OutcomeRecord.parse(entry.data).also { ends.put(id, it) }
     }
 
     private suspend fun cancel(id: JobId): Response {
         ends.getIfPresent(id)?.let { return told(200, id, it) }
         repeat(3) {
-            val records = reader.confirm() ?: return undecided()
+            val records = recordWatcher.confirm() ?: return undecided()
             val job: Versioned<JobRecord>? = records.job(id)
             if (job == null) {
                 val end = end(id) ?: return Response.error(404, "no such job")
@@ -401,14 +401,14 @@
             // Whichever of done and cancelled is written first is final: both create the end's record.
             writes.take(2, urgent = true)
             val result =
-                state.txn(
-                    listOf(Guard(Keys.job(id), job.version), Guard(Keys.end(id), Version.NONE)),
+                store.compareAndSwap(
+                    listOf(Precondition(Keys.job(id), job.version), Precondition(Keys.outcome(id), Version.NONE)),
                     listOf(
-                        Write.Put(Keys.end(id), end.toMap()),
+                        Write.Put(Keys.outcome(id), end.toMap()),
                         Write.Put(Keys.job(id), job.value.copy(cancelled = true).toMap()),
                     ),
                 )
-            if (result is TxnResult.Applied) {
+            if (result is TransactionResult.Applied) {
                 ends.put(id, end)
                 announce()
                 return told(200, id, end)
@@ -420,14 +420,14 @@
     private fun told(
         status: Int,
         id: JobId,
-        end: EndRecord,
+        end: OutcomeRecord,
     ): Response =
         Response(
             status,
             mapOf(
                 "uid" to id.value,
                 "status" to end.end.word,
-                "done" to if (end.end == End.DONE) end.tasks else 0,
+                "done" to if (end.end == JobOutcome.DONE) end.tasks else 0,
                 "running" to 0,
             ),
         )
@@ -438,9 +438,9 @@
         /** How long users wait for the answer to a question. */
         val QUESTION_PATIENCE = 2.seconds
         const val MAX_QUEUE = 100
-        const val MAX_TXN_BYTES = 50_000
+        const val MAX_TRANSACTION_BYTES = 50_000
 
-        /** The two guards of a submission. */
-        const val GUARD_BYTES = 150
+        /** The two preconditions of a submission. */
+        const val PRECONDITION_BYTES = 150
     }
 }
--- a/src/main/kotlin/umberslip/cli/Main.kt
+++ b/src/main/kotlin/umberslip/cli/Main.kt
@@ -4,7 +4,7 @@
 import picocli.CommandLine.Command
 import picocli.CommandLine.Option
 import umberslip.daemon.Daemon
-import umberslip.settings.BadSettings
+import umberslip.settings.InvalidSettingsException
 import umberslip.settings.Settings
 import umberslip.settings.Timings
 import umberslip.settings.Tuning
@@ -59,7 +59,7 @@
         try {
             Files.readString(file)
         } catch (e: IOException) {
-            throw BadSettings("$file cannot be read: ${e.message}")
+            throw InvalidSettingsException("$file cannot be read: ${e.message}")
         }
 }
 
@@ -98,7 +98,7 @@
     Umberslip.configureLogging("info")
     val line = CommandLine(Umberslip())
     line.setExecutionExceptionHandler { e, _, _ ->
-        if (e !is BadSettings) throw e
+        if (e !is InvalidSettingsException) throw e
         System.err.println("umberslip: ${e.message}")
         CommandLine.ExitCode.SOFTWARE
     }
--- a/src/main/kotlin/umberslip/cli/Recovery.kt
+++ b/src/main/kotlin/umberslip/cli/Recovery.kt
@@ -4,8 +4,8 @@
 import picocli.CommandLine.Model.CommandSpec
 import picocli.CommandLine.Option
 import picocli.CommandLine.Spec
-import umberslip.http.NoAnswer
-import umberslip.http.Unavailable
+import umberslip.http.NoResponseException
+import umberslip.http.ServiceUnavailableException
 import umberslip.recovery.ControllerMetrics
 import umberslip.recovery.RecordedWork
 import umberslip.recovery.RecordsAnswer
@@ -13,7 +13,7 @@
 import umberslip.settings.Settings
 import java.util.concurrent.Callable
 
-/** Shows how far the owner has come after a takeover. Only reads, from the state service and controllers' metrics. */
+/** Shows how far the leader has come after a takeover. Only reads, from the key-value store and controllers' metrics. */
 @Command(
     name = "recovery",
     mixinStandardHelpOptions = true,
@@ -57,10 +57,10 @@
 
     private fun readRecords(settings: Settings): RecordsAnswer =
         try {
-            RecordsAnswer.Read(StateServiceReader.read(settings) { RecordedWork.read(it, settings) })
-        } catch (e: Unavailable) {
+            RecordsAnswer.Read(KeyValueStoreReader.read(settings) { RecordedWork.read(it, settings) })
+        } catch (e: ServiceUnavailableException) {
             RecordsAnswer.Unreadable(e.message ?: "unavailable")
-        } catch (e: NoAnswer) {
+        } catch (e: NoResponseException) {
             RecordsAnswer.Unreadable(e.message ?: "no answer")
         }
 }
--- a/src/main/kotlin/umberslip/cloud/Cloud.kt
+++ b/src/main/kotlin/umberslip/cloud/Cloud.kt
@@ -1,22 +1,19 @@
 package umberslip.cloud
 
 import io.netty.handler.codec.http.HttpMethod
+import umberslip.core.MachineName
+import umberslip.core.Resources
 import umberslip.http.HttpClient
-import umberslip.http.Malformed
-import umberslip.http.NoAnswer
+import umberslip.http.MalformedMessageException
+import umberslip.http.NoResponseException
 import umberslip.http.Reply
-import umberslip.http.Unavailable
-import umberslip.state.Pacer
+import umberslip.http.ServiceUnavailableException
+import umberslip.store.RateLimiter
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-@JvmInline
-value class HostName(
-    val value: String,
-)
-
 /** A machine type as the cloud describes it; prices are per hour. */
-data class Flavor(
+data class InstanceType(
     val label: String,
     val cpus: Double,
     val gpus: Double,
@@ -26,16 +23,19 @@
     val spotPrice: Double,
     val boot: Duration,
     val zones: List<String>,
-)
+) {
+    /** All that a machine of this type has to offer. */
+    val resources: Resources get() = Resources(cpus, gpus, memoryGb)
+}
 
-enum class HostStatus { BOOTING, RUNNING, FAILED }
+enum class MachineStatus { BOOTING, RUNNING, FAILED }
 
-data class ListedHost(
-    val name: HostName,
+data class ListedMachine(
+    val name: MachineName,
     val type: String,
     val zone: String,
     val spot: Boolean,
-    val status: HostStatus,
+    val status: MachineStatus,
     val age: Duration,
 )
 
@@ -46,29 +46,29 @@
     val spot: Boolean,
 )
 
-/** The cloud by its published protocol; throws [Unavailable] or [NoAnswer] as the state service does. */
+/** The cloud by its published protocol; throws [ServiceUnavailableException] or [NoResponseException] as the key-value store does. */
 interface Cloud {
-    suspend fun flavors(): List<Flavor>
+    suspend fun instanceTypes(): List<InstanceType>
 
     /** The machines rented; null where there is no capacity. */
-    suspend fun rent(
+    suspend fun provision(
         name: String,
         offer: Offer,
         number: Int,
-    ): List<HostName>?
+    ): List<MachineName>?
 
-    suspend fun release(hosts: List<HostName>)
+    suspend fun terminate(machineNames: List<MachineName>)
 
-    suspend fun hosts(): List<ListedHost>
+    suspend fun listMachines(): List<ListedMachine>
 }
 
 class HttpCloud(
     private val http: HttpClient,
-    private val requests: Pacer,
+    private val requests: RateLimiter,
 ) : Cloud {
-    override suspend fun flavors(): List<Flavor> =
+    override suspend fun instanceTypes(): List<InstanceType> =
         ok(call(HttpMethod.GET, "/flavors", null)).fields().maps("hosttypes").map {
-            Flavor(
+            InstanceType(
                 it.text("label"),
                 it.number("vcpus"),
                 it.numberOrNull("accelerators") ?: 0.0,
@@ -81,11 +81,11 @@
             )
         }
 
-    override suspend fun rent(
+    override suspend fun provision(
         name: String,
         offer: Offer,
         number: Int,
-    ): List<HostName>? {
+    ): List<MachineName>? {
         val body =
             mapOf(
                 "hire" to name,
@@ -96,15 +96,15 @@
             )
         val reply = call(HttpMethod.POST, "/rentals", body)
         if (reply.status == 503 && reply.fields().textOrNull("error") == "no capacity") return null
-        return (ok(reply).fields().textsOrNull("hosts") ?: emptyList()).map(::HostName)
+        return (ok(reply).fields().textsOrNull("hosts") ?: emptyList()).map(::MachineName)
     }
 
-    override suspend fun release(hosts: List<HostName>) {
-        ok(call(HttpMethod.POST, "/rentals/release", mapOf("hosts" to hosts.map { it.value })))
+    override suspend fun terminate(machineNames: List<MachineName>) {
+        ok(call(HttpMethod.POST, "/rentals/release", mapOf("hosts" to machineNames.map { it.value })))
     }
 
-    override suspend fun hosts(): List<ListedHost> {
-        val all = ArrayList<ListedHost>()
+    override suspend fun listMachines(): List<ListedMachine> {
+        val all = ArrayList<ListedMachine>()
         var after = ""
         while (true) {
             val f =
@@ -118,13 +118,13 @@
             for (it in f.maps("hosts")) {
                 val status =
                     when (it.text("status")) {
-                        "booting" -> HostStatus.BOOTING
-                        "failed" -> HostStatus.FAILED
-                        else -> HostStatus.RUNNING
+                        "booting" -> MachineStatus.BOOTING
+                        "failed" -> MachineStatus.FAILED
+                        else -> MachineStatus.RUNNING
                     }
                 all +=
-                    ListedHost(
-                        HostName(it.text("uid")),
+                    ListedMachine(
+                        MachineName(it.text("uid")),
                         it.text("hosttype"),
                         it.text("hall"),
                         it.flag("reclaimable"),
@@ -141,7 +141,7 @@
         if (reply.status == 200) {
             reply
         } else {
-            throw Unavailable("cloud answered ${reply.status} ${reply.body}")
+            throw ServiceUnavailableException("cloud answered ${reply.status} ${reply.body}")
         }
 
     private suspend fun call(
@@ -152,8 +152,8 @@
         requests.take(1, urgent = false)
         return try {
             http.call(method, path, body, TIMEOUT)
-        } catch (e: Malformed) {
-            throw NoAnswer("cloud: ${e.message}")
+        } catch (e: MalformedMessageException) {
+            throw NoResponseException("cloud: ${e.message}")
         }
     }
 
--- /dev/null
+++ b/src/main/kotlin/umberslip/core/Term.kt
@@ -0,0 +1,16 @@
+package umberslip.core
+
+/** A leader's term: rises with every election, for ever. Workers know it as the fencing token. */
+@JvmInline
+value class Term(
+    val value: Long,
+) : Comparable<Term> {
+    override fun compareTo(other: Term): Int = value.compareTo(other.value)
+
+    fun next(): Term = Term(value + 1)
+
+    companion object {
+        /** The term of the first leader ever. */
+        val FIRST = Term(1)
+    }
+}
--- a/src/main/kotlin/umberslip/daemon/Controller.kt
+++ b/src/main/kotlin/umberslip/daemon/Controller.kt
@@ -5,42 +5,44 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 import org.slf4j.LoggerFactory
-import umberslip.actor.Clock
-import umberslip.admission.Admission
-import umberslip.admission.AdmissionMessage
-import umberslip.agents.Relay
-import umberslip.agents.Report
+import umberslip.agents.FollowerLeaseRenewal
+import umberslip.agents.Heartbeat
+import umberslip.api.JobApi
+import umberslip.api.JobApiMessage
 import umberslip.cloud.Cloud
-import umberslip.dispatch.Owner
-import umberslip.dispatch.OwnerMessage
-import umberslip.fleet.Fleet
-import umberslip.http.Malformed
-import umberslip.http.NoAnswer
+import umberslip.core.Clock
+import umberslip.core.JobId
+import umberslip.core.Term
+import umberslip.http.MalformedMessageException
+import umberslip.http.NoResponseException
 import umberslip.http.Request
 import umberslip.http.Response
-import umberslip.http.Unavailable
-import umberslip.ownership.Authority
-import umberslip.ownership.Ownership
-import umberslip.ownership.OwnershipListener
+import umberslip.http.ServiceUnavailableException
+import umberslip.leaderElection.LeaderElection
+import umberslip.leaderElection.LeaderLease
+import umberslip.leaderElection.LeadershipListener
 import umberslip.peers.PeerHealth
-import umberslip.records.HostsRecord
-import umberslip.records.JobId
-import umberslip.records.JobSpec
+import umberslip.provisioning.Provisioner
+import umberslip.records.JobSpecCodec
 import umberslip.records.Keys
-import umberslip.records.Reader
-import umberslip.records.ReaderMessage
+import umberslip.records.MachineSetRecord
 import umberslip.records.RecordEvent
 import umberslip.records.RecordView
-import umberslip.records.Term
+import umberslip.records.RecordWatcher
+import umberslip.records.RecordWatcherMessage
+import umberslip.recovery.RecoveryMonitor
+import umberslip.scheduling.Leader
+import umberslip.scheduling.LeaderMessage
+import umberslip.scheduling.LeaderTermListener
 import umberslip.settings.Settings
 import umberslip.settings.Timings
 import umberslip.settings.Tuning
-import umberslip.state.Guard
-import umberslip.state.Pacer
-import umberslip.state.StateService
-import umberslip.state.TxnResult
-import umberslip.state.Version
-import umberslip.state.Write
+import umberslip.store.KeyValueStore
+import umberslip.store.Precondition
+import umberslip.store.RateLimiter
+import umberslip.store.TransactionResult
+import umberslip.store.Version
+import umberslip.store.Write
 import java.time.Instant
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
@@ -50,151 +52,152 @@
     private val scope: CoroutineScope,
     private val settings: Settings,
     tuning: Tuning,
-    private val state: StateService,
+    private val store: KeyValueStore,
     cloud: Cloud,
     private val clock: Clock,
     wallClock: () -> Instant,
     metrics: MeterRegistry,
-    private val tellPeers: () -> Unit,
+    private val announceToPeers: () -> Unit,
     private val reaches: (String) -> Boolean,
     private val peerHealth: () -> PeerHealth,
     private val scrape: () -> String,
 ) {
     private val log = LoggerFactory.getLogger("umberslip.daemon")
     private val timings = Timings(settings.workers, tuning)
-    private val authority = Authority(timings)
-    private val reader: Reader = Reader(scope, state, clock, settings.sockets, ::recordsChanged)
-    private val admission =
-        Admission(
+    private val leaderLease = LeaderLease(timings)
+    private val recordWatcher: RecordWatcher = RecordWatcher(scope, store, clock, settings.sockets, ::recordsChanged)
+    private val jobApi =
+        JobApi(
             scope,
             settings,
-            state,
+            store,
             writes(ACCEPT_SHARE),
-            reader,
+            recordWatcher,
             clock,
             wallClock,
             ::announce,
             ::ready,
             metrics,
         )
-    private val owner =
-        Owner(
+    private val leader =
+        Leader(
             scope,
             settings,
             tuning,
             timings,
-            state,
-            writes(OWNER_SHARE),
+            store,
+            writes(LEADER_SHARE),
             clock,
             wallClock,
-            authority,
-            { reader.tell(ReaderMessage.Nudge) },
+            leaderLease,
+            { recordWatcher.trySend(RecordWatcherMessage.Refresh) },
             peerHealth,
+            if (tuning.recovery.track) RecoveryMonitor(clock, metrics) else LeaderTermListener.None,
             metrics,
         )
-    private val fleet =
-        Fleet(scope, settings, tuning, timings, cloud, state, authority, owner, clock, wallClock) {
-            admission.post(AdmissionMessage.Flavors(it))
-            owner.post(OwnerMessage.Flavors(it))
+    private val provisioner =
+        Provisioner(scope, settings, tuning, timings, cloud, store, leaderLease, leader, clock, wallClock) {
+            jobApi.enqueue(JobApiMessage.InstanceTypesChanged(it))
+            leader.enqueue(LeaderMessage.InstanceTypesChanged(it))
         }
-    private val ownership =
-        Ownership(
+    private val leaderElection =
+        LeaderElection(
             scope,
             settings.member,
-            state,
-            reader,
-            authority,
+            store,
+            recordWatcher,
+            leaderLease,
             timings,
             clock,
             peerHealth,
-            object : OwnershipListener {
-                override fun tookOver(
+            object : LeadershipListener {
+                override fun elected(
                     records: RecordView,
                     silentUntil: Duration,
                 ) {
-                    fleet.tookOver(records.fleet, authority.term == Term(1))
-                    owner.post(OwnerMessage.TookOver(records, silentUntil))
+                    provisioner.elected(records.bootingMachines, leaderLease.term == Term.FIRST)
+                    leader.enqueue(LeaderMessage.Elected(records, silentUntil))
                 }
 
                 override fun steppedDown() {
-                    owner.post(OwnerMessage.SteppedDown)
+                    leader.enqueue(LeaderMessage.SteppedDown)
                 }
             },
         )
 
     private val readiness = Readiness(settings.known.isEmpty())
-    private var relaying = 0
+    private var renewalsInFlight = 0
     private val malformed = HashSet<String>()
-    private val relay = Relay(settings.sockets)
+    private val followerLeaseRenewal = FollowerLeaseRenewal(settings.sockets)
     private var noteVersion: Version? = null
 
     private fun writes(share: Double) =
-        Pacer(
-            settings.stateLimits.writeRps * share,
+        RateLimiter(
+            settings.storeLimits.writeRps * share,
             clock,
-            settings.stateLimits.nextWriteRps * share,
+            settings.storeLimits.nextWriteRps * share,
         )
 
     /** Whom workers are sent to, as the records last showed. */
-    private var ownerMember: String? = null
+    private var leaderMember: String? = null
 
     fun start() {
-        listOf(reader, admission, owner).forEach { it.start() }
-        ownership.start()
-        fleet.start()
+        listOf(recordWatcher, jobApi, leader).forEach { it.start() }
+        leaderElection.start()
+        provisioner.start()
         scope.launch {
             while (true) {
                 delay(NOTE_EVERY)
-                noteRelayed()
+                publishRenewals()
             }
         }
     }
 
-    /** Tells the owner, which the workers cannot reach, that they are alive; a late copy of a note changes nothing. */
-    private suspend fun noteRelayed() {
-        val hosts = relay.takeHeard(settings.stateLimits.valueBytes)
-        if (hosts.isEmpty()) return
-        val key = Keys.relayed(settings.member)
+    /** Tells the leader, which the workers cannot reach, that they are alive; a late copy of a note changes nothing. */
+    private suspend fun publishRenewals() {
+        val machineNames = followerLeaseRenewal.takeRenewed(settings.storeLimits.valueBytes)
+        if (machineNames.isEmpty()) return
+        val key = Keys.renewedByFollower(settings.member)
         try {
-            val version = noteVersion ?: state.get(key)?.version ?: Version.NONE
+            val version = noteVersion ?: store.get(key)?.version ?: Version.NONE
             noteVersion = null
-            val result = state.txn(listOf(Guard(key, version)), listOf(Write.Put(key, HostsRecord(hosts).toMap())))
-            if (result is TxnResult.Applied) noteVersion = result.version
-        } catch (e: Unavailable) {
+            val result = store.compareAndSwap(listOf(Precondition(key, version)), listOf(Write.Put(key, MachineSetRecord(machineNames).toMap())))
+            if (result is TransactionResult.Applied) noteVersion = result.version
+        } catch (e: ServiceUnavailableException) {
             log.debug("relayed machines not noted: {}", e.message)
-        } catch (e: NoAnswer) {
+        } catch (e: NoResponseException) {
             log.debug("relayed machines perhaps not noted: {}", e.message)
         }
     }
 
-    fun served(): Boolean = readiness.served(reader.confirmedAt, clock.now())
+    fun served(): Boolean = readiness.served(recordWatcher.confirmedAt, clock.now())
 
-    private fun ready(): Boolean = readiness.ready(reader.confirmedAt, clock.now(), peerHealth())
+    private fun ready(): Boolean = readiness.ready(recordWatcher.confirmedAt, clock.now(), peerHealth())
 
-    /** Another controller wrote something that the owner should see soon. */
+    /** Another controller wrote something that the leader should see soon. */
     fun news() {
-        reader.tell(ReaderMessage.Nudge)
+        recordWatcher.trySend(RecordWatcherMessage.Refresh)
     }
 
     private fun recordsChanged(
         events: List<RecordEvent>,
         began: Duration,
     ) {
-        authority.read(began)
+        leaderLease.read(began)
         for (event in events) {
-            if (event !is RecordEvent.OwnerChanged) continue
-            ownerMember = event.owner?.value?.member
-            // By the term, since an owner that fences its late writes puts its own record anew.
-            if (authority.owns && event.owner?.value?.term != authority.term) {
-                authority.lost("the record names ${ownerMember ?: "nobody"}")
+            if (event !is RecordEvent.LeaderChanged) continue
+            leaderMember = event.leader?.value?.member
+            // By the term, since an leader that fences its late writes puts its own record anew.
+            if (leaderLease.isLeader && event.leader?.value?.term != leaderLease.term) {
+                leaderLease.lost("the record names ${leaderMember ?: "nobody"}")
             }
         }
-        if (events.isNotEmpty() && authority.owns) owner.post(OwnerMessage.RecordsChanged(events))
+        if (events.isNotEmpty() && leaderLease.isLeader) leader.enqueue(LeaderMessage.RecordsChanged(events))
     }
 
     private fun announce() {
-        reader.tell(ReaderMessage.Nudge)
-        tellPeers()
+        recordWatcher.trySend(RecordWatcherMessage.Refresh)
+        announceToPeers()
     }
 
     // ---- routes ----
@@ -219,17 +222,17 @@
             path == "/agent/beat" -> only("POST", request, respond) { beat(request, respond) }
             path == "/api/jobs" ->
                 only("POST", request, respond) {
-                    pass(admission.tell(AdmissionMessage.Submit(JobSpec.parse(request.fields()), respond)), respond)
+                    pass(jobApi.trySend(JobApiMessage.Submit(JobSpecCodec.parse(request.fields()), respond)), respond)
                 }
             path.startsWith(JOBS) && path.endsWith(CANCEL) ->
                 only("POST", request, respond) {
                     job(path.removeSuffix(CANCEL), respond) {
-                        pass(admission.tell(AdmissionMessage.Cancel(it, respond)), respond)
+                        pass(jobApi.trySend(JobApiMessage.Cancel(it, respond)), respond)
                     }
                 }
             path.startsWith(JOBS) ->
                 only("GET", request, respond) {
-                    job(path, respond) { pass(admission.tell(AdmissionMessage.Status(it, respond)), respond) }
+                    job(path, respond) { pass(jobApi.trySend(JobApiMessage.Status(it, respond)), respond) }
                 }
             else -> respond(Response.error(404, "no such path"))
         }
@@ -264,11 +267,11 @@
         request: Request,
         respond: (Response) -> Unit,
     ) {
-        if (authority.owns) {
-            pass(owner.tell(OwnerMessage.Reported(read(request), respond)), respond)
+        if (leaderLease.isLeader) {
+            pass(leader.trySend(LeaderMessage.HeartbeatReceived(read(request), respond)), respond)
             return
         }
-        val other = ownerMember?.takeIf { it != settings.member }
+        val other = leaderMember?.takeIf { it != settings.member }
         if (other != null && reaches(other)) {
             respond(Response(421, mapOf("dispatcher" to other)))
             return
@@ -276,19 +279,19 @@
         // Sent to a controller that cannot be reached, a worker would lose seconds of its lease there.
         // Here its lease is renewed while the record stands; else it asks around. The record may be that
         // of this member's former process: after all have ended, every second of a lease counts.
-        if (ownerMember == null || relaying >= settings.sockets) {
+        if (leaderMember == null || renewalsInFlight >= settings.sockets) {
             respond(Response.NOT_HERE)
             return
         }
-        val report = read(request)
-        if (!served() || !relay.isNew(report)) {
+        val heartbeat = read(request)
+        if (!served() || !followerLeaseRenewal.isNew(heartbeat)) {
             respond(Response.NOT_HERE)
             return
         }
-        relaying++
+        renewalsInFlight++
         scope.launch {
-            val answer = reader.confirm()?.let { Relay.answer(report, it) }
-            relaying--
+            val answer = recordWatcher.confirm()?.let { FollowerLeaseRenewal.answer(heartbeat, it) }
+            renewalsInFlight--
             respond(
                 if (answer == null) {
                     Response.NOT_HERE
@@ -299,27 +302,27 @@
         }
     }
 
-    private fun read(request: Request): Report =
+    private fun read(request: Request): Heartbeat =
         try {
-            Report.parse(request.body)
-        } catch (e: Malformed) {
+            Heartbeat.parse(request.body)
+        } catch (e: MalformedMessageException) {
             complain(request, e)
             throw e
         }
 
-    /** Once for each machine, not for each report. */
+    /** Once for each machine, not for each heartbeat. */
     private fun complain(
         request: Request,
-        e: Malformed,
+        e: MalformedMessageException,
     ) {
-        val host =
+        val machineName =
             try {
                 request.fields().textOrNull("host")
-            } catch (_: Malformed) {
+            } catch (_: MalformedMessageException) {
                 null
             }
-        if (malformed.size < MAX_COMPLAINTS && malformed.add(host.orEmpty())) {
-            log.info("reports of {} cannot be read: {}", host ?: "some machine", e.message)
+        if (malformed.size < MAX_COMPLAINTS && malformed.add(machineName.orEmpty())) {
+            log.info("reports of {} cannot be read: {}", machineName ?: "some machine", e.message)
         }
     }
 
@@ -331,7 +334,7 @@
         private const val JOBS = "/api/jobs/"
         private const val CANCEL = "/cancel"
         private const val ACCEPT_SHARE = 0.5
-        private const val OWNER_SHARE = 0.7
+        private const val LEADER_SHARE = 0.7
         private val NOTE_EVERY = 3.seconds
     }
 }
--- a/src/main/kotlin/umberslip/daemon/Daemon.kt
+++ b/src/main/kotlin/umberslip/daemon/Daemon.kt
@@ -9,20 +9,20 @@
 import kotlinx.coroutines.SupervisorJob
 import kotlinx.coroutines.asCoroutineDispatcher
 import org.slf4j.LoggerFactory
-import umberslip.actor.Clock
 import umberslip.cloud.HttpCloud
+import umberslip.core.Clock
 import umberslip.http.HttpClient
 import umberslip.http.HttpServer
 import umberslip.peers.Peers
 import umberslip.peers.PeersMessage
 import umberslip.settings.Settings
 import umberslip.settings.Tuning
-import umberslip.state.HttpStateService
-import umberslip.state.Pacer
+import umberslip.store.HttpKeyValueStore
+import umberslip.store.RateLimiter
 import java.time.Instant
 import kotlin.time.TimeSource
 
-/** One controller as a process: everything runs on one thread, which the event loop owns. */
+/** One controller as a process: everything runs on one thread, which the event loop leads. */
 class Daemon(
     private val settings: Settings,
     tuning: Tuning,
@@ -37,13 +37,13 @@
     private val metrics = PrometheusMeterRegistry(PrometheusConfig.DEFAULT)
     private val origin = TimeSource.Monotonic.markNow()
     private val clock = Clock { origin.elapsedNow() }
-    private val state =
-        HttpStateService(
-            HttpClient(group, settings.state, MAX_BODY),
-            Pacer(settings.stateLimits.rps / settings.nodes, clock, settings.stateLimits.nextRps / settings.nodes),
+    private val store =
+        HttpKeyValueStore(
+            HttpClient(group, settings.storeAddress, MAX_BODY),
+            RateLimiter(settings.storeLimits.rps / settings.nodes, clock, settings.storeLimits.nextRps / settings.nodes),
         )
     private val cloud =
-        HttpCloud(HttpClient(group, settings.cloud, MAX_BODY), Pacer(settings.cloudRps * CLOUD_SHARE, clock))
+        HttpCloud(HttpClient(group, settings.cloudAddress, MAX_BODY), RateLimiter(settings.cloudRps * CLOUD_SHARE, clock))
     private val peers: Peers =
         Peers(scope, group, settings.member, settings.known, clock, { controller.news() }, { controller.served() })
     private val controller =
@@ -51,12 +51,12 @@
             scope,
             settings,
             tuning,
-            state,
+            store,
             cloud,
             clock,
             Instant::now,
             metrics,
-            { peers.tell(PeersMessage.Announce) },
+            { peers.trySend(PeersMessage.Announce) },
             peers::reaches,
             peers::peerHealth,
             metrics::scrape,
@@ -81,7 +81,7 @@
     private companion object {
         const val MAX_BODY = 8 * 1024 * 1024
 
-        /** Sockets kept for calls of its own: a slow state service holds many at once. */
+        /** Sockets kept for calls of its own: a slow key-value store holds many at once. */
         const val OWN_SOCKETS = 20
         const val OWN_SHARE = 10
         const val CLOUD_SHARE = 0.8
--- a/src/main/kotlin/umberslip/daemon/Readiness.kt
+++ b/src/main/kotlin/umberslip/daemon/Readiness.kt
@@ -5,7 +5,7 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * Whether users are well served here. A controller that the state service does not serve sends them
+ * Whether users are well served here. A controller that the key-value store does not serve sends them
  * elsewhere while it may serve others; when it is away for all, nobody gains by being sent around,
  * and every controller goes on telling ends of jobs. Pure.
  */
--- a/src/main/kotlin/umberslip/http/Documents.kt
+++ b/src/main/kotlin/umberslip/http/Documents.kt
@@ -10,7 +10,7 @@
 import java.math.BigInteger
 
 /** A document, or a field of one, is not what the protocol says it is. */
-class Malformed(
+class MalformedMessageException(
     message: String,
 ) : Exception(message)
 
@@ -57,15 +57,15 @@
     ): T =
         try {
             open().use { parser ->
-                if (parser.nextToken() == null) throw Malformed("empty document")
+                if (parser.nextToken() == null) throw MalformedMessageException("empty document")
                 val value = with(Streamed(parser))
-                if (parser.nextToken() != null) throw Malformed("more than one document")
+                if (parser.nextToken() != null) throw MalformedMessageException("more than one document")
                 value
             }
         } catch (e: IOException) {
-            throw Malformed("unreadable document: ${e.message?.lineSequence()?.first()}")
+            throw MalformedMessageException("unreadable document: ${e.message?.lineSequence()?.first()}")
         } catch (e: ArithmeticException) {
-            throw Malformed("number out of range")
+            throw MalformedMessageException("number out of range")
         }
 
     private fun write(
@@ -104,13 +104,13 @@
 ) {
     /** Calls [field] at the value of each field of a map; it reads that value or skips it. */
     fun map(field: (String) -> Unit) {
-        if (parser.currentToken() != JsonToken.START_OBJECT) throw Malformed("not a map")
+        if (parser.currentToken() != JsonToken.START_OBJECT) throw MalformedMessageException("not a map")
         while (true) {
-            val name = parser.nextToken() ?: throw Malformed("unfinished map")
+            val name = parser.nextToken() ?: throw MalformedMessageException("unfinished map")
             if (name == JsonToken.END_OBJECT) return
-            if (name != JsonToken.FIELD_NAME) throw Malformed("a map's key is not text")
+            if (name != JsonToken.FIELD_NAME) throw MalformedMessageException("a map's key is not text")
             val key = parser.currentName()
-            if (parser.nextToken() == null) throw Malformed("unfinished map")
+            if (parser.nextToken() == null) throw MalformedMessageException("unfinished map")
             field(key)
         }
     }
@@ -118,9 +118,9 @@
     /** Calls [item] at each item of a list; null stands for an empty one. */
     fun list(item: () -> Unit) {
         if (isNull) return
-        if (parser.currentToken() != JsonToken.START_ARRAY) throw Malformed("not a list")
+        if (parser.currentToken() != JsonToken.START_ARRAY) throw MalformedMessageException("not a list")
         while (true) {
-            val next = parser.nextToken() ?: throw Malformed("unfinished list")
+            val next = parser.nextToken() ?: throw MalformedMessageException("unfinished list")
             if (next == JsonToken.END_ARRAY) return
             item()
         }
@@ -132,26 +132,26 @@
         if (parser.currentToken() == JsonToken.VALUE_STRING) {
             parser.text
         } else {
-            throw Malformed("$name is not text")
+            throw MalformedMessageException("$name is not text")
         }
 
     fun long(name: String): Long {
         val whole =
             parser.currentToken() == JsonToken.VALUE_NUMBER_INT &&
                 parser.numberType != JsonParser.NumberType.BIG_INTEGER
-        return if (whole) parser.longValue else throw Malformed("$name is not a whole number")
+        return if (whole) parser.longValue else throw MalformedMessageException("$name is not a whole number")
     }
 
     fun number(name: String): Double {
-        if (parser.currentToken()?.isNumeric != true) throw Malformed("$name is not a number")
-        return parser.doubleValue.also { if (!it.isFinite()) throw Malformed("$name is not a finite number") }
+        if (parser.currentToken()?.isNumeric != true) throw MalformedMessageException("$name is not a number")
+        return parser.doubleValue.also { if (!it.isFinite()) throw MalformedMessageException("$name is not a finite number") }
     }
 
     fun flag(name: String): Boolean =
         when (parser.currentToken()) {
             JsonToken.VALUE_TRUE -> true
             JsonToken.VALUE_FALSE -> false
-            else -> throw Malformed("$name is not true or false")
+            else -> throw MalformedMessageException("$name is not true or false")
         }
 
     fun skip() {
@@ -171,7 +171,7 @@
             JsonToken.VALUE_TRUE -> true
             JsonToken.VALUE_FALSE -> false
             JsonToken.VALUE_NULL -> null
-            else -> throw Malformed("unexpected $token")
+            else -> throw MalformedMessageException("unexpected $token")
         }
 }
 
@@ -231,12 +231,12 @@
 
     fun raw(): Map<*, *> = map
 
-    private fun missing(name: String): Nothing = throw Malformed("${path(name)} is missing")
+    private fun missing(name: String): Nothing = throw MalformedMessageException("${path(name)} is missing")
 
     private fun wrong(
         name: String,
         kind: String,
-    ): Nothing = throw Malformed("${path(name)} is not $kind")
+    ): Nothing = throw MalformedMessageException("${path(name)} is not $kind")
 
     companion object {
         fun of(
@@ -245,7 +245,7 @@
         ): Fields =
             Fields(
                 value as? Map<*, *>
-                    ?: throw Malformed("${where.ifEmpty { "document" }} is not a map"),
+                    ?: throw MalformedMessageException("${where.ifEmpty { "document" }} is not a map"),
                 where,
             )
     }
--- a/src/main/kotlin/umberslip/http/HttpClient.kt
+++ b/src/main/kotlin/umberslip/http/HttpClient.kt
@@ -26,17 +26,17 @@
 import kotlin.time.TimeSource
 
 /** The request was certainly not carried out: refused, or never sent. */
-open class Unavailable(
+open class ServiceUnavailableException(
     message: String,
 ) : Exception(message)
 
 /** Refused for coming too fast. */
-class Throttled(
+class RateLimitedException(
     message: String,
-) : Unavailable(message)
+) : ServiceUnavailableException(message)
 
 /** No answer came: the request may have been carried out, or may yet be. */
-class NoAnswer(
+class NoResponseException(
     message: String,
 ) : Exception(message)
 
@@ -64,12 +64,12 @@
     ): Reply {
         val began = timeSource.markNow()
         val channel =
-            withTimeoutOrNull(timeout) { connection() } ?: throw Unavailable("no connection to $address in $timeout")
+            withTimeoutOrNull(timeout) { connection() } ?: throw ServiceUnavailableException("no connection to $address in $timeout")
         // After a standstill of the process, the connection and the timer are ready at the same time. What was to be
         // sent rests on what was known then.
         if (began.elapsedNow() > timeout) {
             idle.addLast(channel)
-            throw Unavailable("not sent to $address in $timeout")
+            throw ServiceUnavailableException("not sent to $address in $timeout")
         }
         val answer = CompletableDeferred<Reply>()
         val calls = channel.pipeline().get(Calls::class.java)
@@ -83,12 +83,12 @@
         if (body != null) request.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/cbor")
         channel.writeAndFlush(request).addListener(
             ChannelFutureListener {
-                if (!it.isSuccess) answer.completeExceptionally(NoAnswer("$address: ${it.cause()}"))
+                if (!it.isSuccess) answer.completeExceptionally(NoResponseException("$address: ${it.cause()}"))
             },
         )
         try {
             return withTimeoutOrNull(timeout) { answer.await() }
-                ?: throw NoAnswer("no answer from $address in $timeout")
+                ?: throw NoResponseException("no answer from $address in $timeout")
         } finally {
             // A connection with an answer outstanding cannot be used again.
             if (!answer.isCompleted) channel.close()
@@ -117,7 +117,7 @@
         future.addListener(
             ChannelFutureListener {
                 if (!it.isSuccess) {
-                    made.completeExceptionally(Unavailable("$address: ${it.cause()}"))
+                    made.completeExceptionally(ServiceUnavailableException("$address: ${it.cause()}"))
                 } else if (!made.complete(it.channel())) {
                     it.channel().close()
                 }
@@ -146,14 +146,14 @@
                 answer?.complete(
                     Reply(message.status().code(), if (bytes.isEmpty()) null else Documents.readCbor(bytes)),
                 )
-            } catch (e: Malformed) {
-                answer?.completeExceptionally(NoAnswer("$address answered nonsense: ${e.message}"))
+            } catch (e: MalformedMessageException) {
+                answer?.completeExceptionally(NoResponseException("$address answered nonsense: ${e.message}"))
             }
         }
 
         override fun channelInactive(ctx: ChannelHandlerContext) {
             idle.remove(ctx.channel())
-            waiting?.completeExceptionally(NoAnswer("$address closed the connection"))
+            waiting?.completeExceptionally(NoResponseException("$address closed the connection"))
         }
 
         @Deprecated("as Netty's")
@@ -161,7 +161,7 @@
             ctx: ChannelHandlerContext,
             cause: Throwable,
         ) {
-            waiting?.completeExceptionally(NoAnswer("$address: $cause"))
+            waiting?.completeExceptionally(NoResponseException("$address: $cause"))
             ctx.close()
         }
     }
--- a/src/main/kotlin/umberslip/http/HttpServer.kt
+++ b/src/main/kotlin/umberslip/http/HttpServer.kt
@@ -151,7 +151,7 @@
             }
             try {
                 handler.handle(request, respond)
-            } catch (e: Malformed) {
+            } catch (e: MalformedMessageException) {
                 respond(Response.error(400, e.message ?: "malformed"))
             } catch (e: Exception) {
                 log.error("{} {} failed", request.method, request.path, e)
--- a/src/main/kotlin/umberslip/ownership/Ownership.kt
+++ b/src/main/kotlin/umberslip/leadership/LeaderElection.kt
@@ -1,53 +1,53 @@
-package umberslip.ownership
+package umberslip.leaderElection
 
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.Job
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 import org.slf4j.LoggerFactory
-import umberslip.actor.Clock
-import umberslip.http.NoAnswer
-import umberslip.http.Unavailable
+import umberslip.core.Clock
+import umberslip.core.Term
+import umberslip.http.NoResponseException
+import umberslip.http.ServiceUnavailableException
 import umberslip.peers.PeerHealth
 import umberslip.records.Keys
-import umberslip.records.OwnerRecord
-import umberslip.records.Reader
+import umberslip.records.LeaderRecord
 import umberslip.records.RecordView
-import umberslip.records.Term
+import umberslip.records.RecordWatcher
 import umberslip.settings.Timings
-import umberslip.state.Guard
-import umberslip.state.Lease
-import umberslip.state.StateService
-import umberslip.state.TxnResult
-import umberslip.state.Version
-import umberslip.state.Write
+import umberslip.store.KeyValueStore
+import umberslip.store.Precondition
+import umberslip.store.StoreLease
+import umberslip.store.TransactionResult
+import umberslip.store.Version
+import umberslip.store.Write
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
 /** What this controller is entitled to, and until when; time is an input. */
-class Authority(
+class LeaderLease(
     private val timings: Timings,
 ) {
     var term: Term? = null
         private set
     var version: Version? = null
         private set
-    var lease: Lease? = null
+    var lease: StoreLease? = null
         private set
     private var renewed: Duration = Duration.ZERO
     private var read: Duration = Duration.ZERO
     private var gone = false
 
-    val owns: Boolean get() = term != null
+    val isLeader: Boolean get() = term != null
 
-    /** Set when a report or a refused write shows that somebody else owns. */
+    /** Set when a heartbeat or a refused write shows that somebody else leads. */
     val isLost: Boolean get() = gone
 
-    fun won(
+    fun acquired(
         term: Term,
         version: Version,
-        lease: Lease,
+        lease: StoreLease,
         sent: Duration,
     ) {
         this.term = term
@@ -60,7 +60,7 @@
 
     /** The same record under the same term, written anew. */
     fun fenced(version: Version) {
-        if (owns) this.version = version
+        if (isLeader) this.version = version
     }
 
     fun end() {
@@ -70,7 +70,7 @@
         gone = false
     }
 
-    /** Counted from when the renewal was sent: the state service cannot have had it earlier. */
+    /** Counted from when the renewal was sent: the key-value store cannot have had it earlier. */
     fun renewed(sent: Duration) {
         renewed = maxOf(renewed, sent)
     }
@@ -85,10 +85,10 @@
         gone = true
     }
 
-    fun outranked() = lost("a worker has seen a higher term")
+    fun superseded() = lost("a worker has seen a higher term")
 
     /** Most machines fell silent at once; another controller may still be reached by them. */
-    fun unheard(now: Duration) {
+    fun lostContactWithWorkers(now: Duration) {
         lost("no worker reaches this controller")
         abstainUntil = now + ABSTAIN
     }
@@ -100,15 +100,15 @@
     private var othersServedSince: Duration? = null
 
     /**
-     * Past its own lease, while the state service serves others: they take over. That others are served is
-     * heard late, so at the beginning of an outage for all it looks the same; it must last, or the owner
+     * Past its own lease, while the key-value store serves others: they take over. That others are served is
+     * heard late, so at the beginning of an outage for all it looks the same; it must last, or the leader
      * would leave all workers without an answer just when nobody can take its place.
      */
-    fun servesOthersOnly(
+    fun storeServesOthersOnly(
         now: Duration,
         peerHealth: PeerHealth,
     ): Boolean {
-        val since = if (owns && !mayStart(now) && peerHealth == PeerHealth.SERVED) othersServedSince ?: now else null
+        val since = if (isLeader && !mayStart(now) && peerHealth == PeerHealth.SERVED) othersServedSince ?: now else null
         othersServedSince = since
         return since != null && now - since >= SURE
     }
@@ -118,29 +118,29 @@
      * a cancellation that another controller has told would not be known here.
      */
     fun mayStart(now: Duration): Boolean =
-        owns &&
+        isLeader &&
             !gone &&
-            now < minOf(renewed, read) + timings.ownerLease - timings.margin
+            now < minOf(renewed, read) + timings.leaderLeaseDuration - timings.margin
 
     /**
-     * Running work outlives a short outage: reports are answered, with no starts, for a bounded time.
+     * Running work outlives a short outage: heartbeats are answered, with no starts, for a bounded time.
      * It is counted from the older of renewal and read, since a cancellation is only heard by reading.
      */
     fun mayAnswer(now: Duration): Boolean =
-        owns &&
+        isLeader &&
             !gone &&
-            now < minOf(renewed, read) + timings.ownerLease + timings.grace
+            now < minOf(renewed, read) + timings.leaderLeaseDuration + timings.grace
 
     private companion object {
         val ABSTAIN = 30.seconds
         val SURE = 2.seconds
-        val LOG = LoggerFactory.getLogger("umberslip.ownership")
+        val LOG = LoggerFactory.getLogger("umberslip.leadership")
     }
 }
 
 /** Called on the actors' thread. */
-interface OwnershipListener {
-    fun tookOver(
+interface LeadershipListener {
+    fun elected(
         records: RecordView,
         silentUntil: Duration,
     )
@@ -148,29 +148,29 @@
     fun steppedDown()
 }
 
-/** Takes, renews and gives up the one owner's record. */
-class Ownership(
+/** Takes, renews and gives up the one leader's record. */
+class LeaderElection(
     private val scope: CoroutineScope,
     private val member: String,
-    private val state: StateService,
-    private val reader: Reader,
-    private val authority: Authority,
+    private val store: KeyValueStore,
+    private val recordWatcher: RecordWatcher,
+    private val leaderLease: LeaderLease,
     private val timings: Timings,
     private val clock: Clock,
     private val peerHealth: () -> PeerHealth,
-    private val listener: OwnershipListener,
+    private val listener: LeadershipListener,
 ) {
-    private val log = LoggerFactory.getLogger("umberslip.ownership")
+    private val log = LoggerFactory.getLogger("umberslip.leadership")
 
     fun start(): Job =
         scope.launch {
             while (true) {
                 try {
-                    if (authority.owns) own() else follow()
-                } catch (e: Unavailable) {
+                    if (leaderLease.isLeader) lead() else follow()
+                } catch (e: ServiceUnavailableException) {
                     log.debug("{}", e.message)
                     delay(RETRY)
-                } catch (e: NoAnswer) {
+                } catch (e: NoResponseException) {
                     log.debug("{}", e.message)
                     delay(RETRY)
                 }
@@ -178,61 +178,61 @@
         }
 
     private suspend fun follow() {
-        val records = reader.confirm()
+        val records = recordWatcher.confirm()
         if (records == null) {
             delay(RETRY)
             return
         }
-        val owner = records.owner
+        val leader = records.leader
         when {
-            owner == null && clock.now() < authority.abstainUntil && peerHealth() == PeerHealth.SERVED -> delay(WATCH)
-            owner == null -> seize(records)
-            owner.value.member == member -> {
+            leader == null && clock.now() < leaderLease.abstainUntil && peerHealth() == PeerHealth.SERVED -> delay(WATCH)
+            leader == null -> acquire(records)
+            leader.value.member == member -> {
                 // A process of this name runs once at a time, so the one that took this lease has
                 // ended: its lease need not be waited out. Its late writes fail on the record's version.
-                log.info("ends the lease of this member's former process, term {}", owner.value.term.value)
-                state.endLease(owner.value.lease)
-                reader.confirm()
+                log.info("ends the lease of this member's former process, term {}", leader.value.term.value)
+                store.endLease(leader.value.lease)
+                recordWatcher.confirm()
             }
             else -> delay(WATCH)
         }
     }
 
-    private suspend fun seize(records: RecordView) {
+    private suspend fun acquire(records: RecordView) {
         val known = records.term
-        val term = known?.value?.next() ?: Term(1)
+        val term = known?.value?.next() ?: Term.FIRST
         val sent = clock.now()
-        val lease = state.openLease(timings.ownerLease)
+        val lease = store.openLease(timings.leaderLeaseDuration)
         val result =
-            state.txn(
-                listOf(Guard(Keys.OWNER, Version.NONE), Guard(Keys.TERM, known?.version ?: Version.NONE)),
+            store.compareAndSwap(
+                listOf(Precondition(Keys.LEADER, Version.NONE), Precondition(Keys.TERM, known?.version ?: Version.NONE)),
                 listOf(
-                    Write.Put(Keys.OWNER, OwnerRecord(member, term, lease).toMap(), lease),
+                    Write.Put(Keys.LEADER, LeaderRecord(member, term, lease).toMap(), lease),
                     Write.Put(Keys.TERM, mapOf("term" to term.value)),
                 ),
             )
-        if (result !is TxnResult.Applied) {
-            if (result is TxnResult.Refused) state.endLease(lease)
-            reader.confirm()
+        if (result !is TransactionResult.Applied) {
+            if (result is TransactionResult.PreconditionFailed) store.endLease(lease)
+            recordWatcher.confirm()
             return
         }
         log.info("took the owner's record under term {}", term.value)
-        authority.won(term, result.version, lease, sent)
+        leaderLease.acquired(term, result.version, lease, sent)
         val took = clock.now()
         // Everything written before the record was taken is in a read begun afterwards; whatever a
-        // former owner writes later fails on its guard.
+        // former leader writes later fails on its precondition.
         val renewing =
             scope.launch {
                 while (true) {
                     renewOnce()
-                    delay(timings.ownerLease / RENEWALS)
+                    delay(timings.leaderLeaseDuration / RENEWALS)
                 }
             }
         try {
-            while (!authority.isLost) {
-                val read = reader.confirm()
+            while (!leaderLease.isLost) {
+                val read = recordWatcher.confirm()
                 if (read != null) {
-                    listener.tookOver(
+                    listener.elected(
                         read,
                         took + timings.stretched(timings.grace + timings.lease) + timings.margin * 2,
                     )
@@ -245,31 +245,31 @@
         }
     }
 
-    private suspend fun own() {
-        if (!authority.isLost) renewOnce()
+    private suspend fun lead() {
+        if (!leaderLease.isLost) renewOnce()
         // Nobody waits for this one's grace.
-        if (authority.servesOthersOnly(clock.now(), peerHealth())) {
-            authority.lost("the state service serves others only")
+        if (leaderLease.storeServesOthersOnly(clock.now(), peerHealth())) {
+            leaderLease.lost("the state service serves others only")
         }
-        if (authority.isLost) {
-            val lease = authority.lease
-            authority.end()
+        if (leaderLease.isLost) {
+            val lease = leaderLease.lease
+            leaderLease.end()
             listener.steppedDown()
             // Whoever comes next need not wait for it to run out; it may have ended already.
-            if (lease != null) state.endLease(lease)
+            if (lease != null) store.endLease(lease)
         } else {
-            delay(timings.ownerLease / RENEWALS)
+            delay(timings.leaderLeaseDuration / RENEWALS)
         }
     }
 
     private suspend fun renewOnce() {
-        val lease = authority.lease ?: return
+        val lease = leaderLease.lease ?: return
         val sent = clock.now()
         try {
-            if (state.renew(lease)) authority.renewed(sent) else authority.lost("its lease has ended")
-        } catch (e: Unavailable) {
+            if (store.renew(lease)) leaderLease.renewed(sent) else leaderLease.lost("its lease has ended")
+        } catch (e: ServiceUnavailableException) {
             log.debug("not renewed: {}", e.message)
-        } catch (e: NoAnswer) {
+        } catch (e: NoResponseException) {
             log.debug("not renewed: {}", e.message)
         }
     }
--- a/src/main/kotlin/umberslip/peers/Peers.kt
+++ b/src/main/kotlin/umberslip/peers/Peers.kt
@@ -22,7 +22,7 @@
 import okio.Buffer
 import okio.EOFException
 import umberslip.actor.Actor
-import umberslip.actor.Clock
+import umberslip.core.Clock
 import umberslip.settings.Peer
 import java.net.InetSocketAddress
 import kotlin.time.Duration
@@ -31,7 +31,7 @@
 
 /** What controllers tell one another; losing any of it does no harm. */
 sealed interface PeerFrame {
-    /** A job was accepted or cancelled: whoever owns should read the records now. */
+    /** A job was accepted or cancelled: whoever leads should read the records now. */
     data class News(
         val from: String,
     ) : PeerFrame
@@ -41,7 +41,7 @@
         val from: String,
     ) : PeerFrame
 
-    /** The answer to a ping; [served] tells whether the state service serves the one that answers. */
+    /** The answer to a ping; [served] tells whether the key-value store serves the one that answers. */
     data class Pong(
         val from: String,
         val served: Boolean,
@@ -78,7 +78,7 @@
     }
 }
 
-/** What the other controllers that can be reached say of the state service. */
+/** What the other controllers that can be reached say of the key-value store. */
 enum class PeerHealth {
     /** It serves at least one of them. */
     SERVED,
@@ -107,7 +107,7 @@
 }
 
 /**
- * The link to the other controllers: hints only, so that an owner learns of new work at once, and
+ * The link to the other controllers: hints only, so that an leader learns of new work at once, and
  * workers are not sent to a controller that cannot be reached.
  */
 class Peers(
@@ -141,7 +141,7 @@
     override fun start(): Job {
         scope.launch {
             while (true) {
-                tell(PeersMessage.Tick)
+                trySend(PeersMessage.Tick)
                 delay(PING_EVERY)
             }
         }
@@ -233,7 +233,7 @@
                 },
             ).connect(peer.address)
             .addListener(
-                ChannelFutureListener { post(PeersMessage.Opened(peer, if (it.isSuccess) it.channel() else null)) },
+                ChannelFutureListener { enqueue(PeersMessage.Opened(peer, if (it.isSuccess) it.channel() else null)) },
             )
     }
 
@@ -249,7 +249,7 @@
                 log.warn("a frame from {} cannot be read: connection closed", ctx.channel().remoteAddress())
                 ctx.close()
             } else {
-                tell(PeersMessage.Received(frame, ctx.channel()))
+                trySend(PeersMessage.Received(frame, ctx.channel()))
             }
         }
 
--- a/src/main/kotlin/umberslip/fleet/Fleet.kt
+++ b/src/main/kotlin/umberslip/provisioning/Provisioner.kt
@@ -1,4 +1,4 @@
-package umberslip.fleet
+package umberslip.provisioning
 
 import kotlinx.coroutines.CompletableDeferred
 import kotlinx.coroutines.CoroutineScope
@@ -6,70 +6,72 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 import org.slf4j.LoggerFactory
-import umberslip.actor.Clock
 import umberslip.cloud.Cloud
-import umberslip.cloud.Flavor
-import umberslip.cloud.HostName
-import umberslip.cloud.HostStatus
-import umberslip.cloud.ListedHost
+import umberslip.cloud.InstanceType
+import umberslip.cloud.ListedMachine
+import umberslip.cloud.MachineStatus
 import umberslip.cloud.Offer
-import umberslip.dispatch.Owner
-import umberslip.dispatch.OwnerMessage
+import umberslip.core.Clock
+import umberslip.core.MachineName
 import umberslip.http.Fields
-import umberslip.http.Malformed
-import umberslip.http.NoAnswer
-import umberslip.http.Unavailable
-import umberslip.ownership.Authority
+import umberslip.http.MalformedMessageException
+import umberslip.http.NoResponseException
+import umberslip.http.ServiceUnavailableException
+import umberslip.leaderElection.LeaderLease
 import umberslip.records.Keys
 import umberslip.recovery.KnownMachine
 import umberslip.recovery.MissingMachines
+import umberslip.scheduling.ClusterSnapshot
+import umberslip.scheduling.Leader
+import umberslip.scheduling.LeaderMessage
+import umberslip.scheduling.MachineSnapshot
 import umberslip.settings.Settings
 import umberslip.settings.Timings
 import umberslip.settings.Tuning
-import umberslip.state.Guard
-import umberslip.state.StateService
-import umberslip.state.Write
+import umberslip.store.KeyValueStore
+import umberslip.store.Precondition
+import umberslip.store.Write
 import java.time.Instant
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Rents and returns machines while this controller owns. A loop of its own: the cloud is slow, and
+ * Rents and returns machines while this controller leads. A loop of its own: the cloud is slow, and
  * nobody waits for it.
  */
-class Fleet(
+class Provisioner(
     private val scope: CoroutineScope,
     private val settings: Settings,
     private val tuning: Tuning,
     timings: Timings,
     private val cloud: Cloud,
-    private val state: StateService,
-    private val authority: Authority,
-    private val owner: Owner,
+    private val store: KeyValueStore,
+    private val leaderLease: LeaderLease,
+    private val leader: Leader,
     private val clock: Clock,
     private val wallClock: () -> Instant,
-    private val flavorsKnown: (List<Flavor>) -> Unit,
+    private val onInstanceTypes: (List<InstanceType>) -> Unit,
 ) {
-    private val log = LoggerFactory.getLogger("umberslip.fleet")
-    private val planner = FleetPlanner(tuning)
+    private val log = LoggerFactory.getLogger("umberslip.provisioning")
+    private val planner = CapacityPlanner(tuning)
     private val missingMachines = if (tuning.recovery.returnMissing) MissingMachines(settings, timings) else null
-    private var flavors: Map<String, Flavor> = emptyMap()
-    private var flavorsAt: Duration? = null
+    private var instanceTypes: Map<String, InstanceType> = emptyMap()
+    private var instanceTypesReadAt: Duration? = null
     private var listedAt: Duration? = null
-    private val booting = LinkedHashMap<HostName, Booting>()
+    private val booting = LinkedHashMap<MachineName, BootingMachine>()
 
     /** Offers that had no machine lately, and until when they are not asked again. */
     private val shut = HashMap<Offer, Duration>()
 
     /** Requests whose fate is unknown, asked again under the same name. */
-    private val unsettled = ArrayDeque<Pair<String, Rent>>()
-    private val releases = LinkedHashSet<HostName>()
-    private val gone = HashSet<HostName>()
-    private val unneededSince = HashMap<HostName, Duration>()
+    private val unsettled = ArrayDeque<Pair<String, ProvisioningRequest>>()
+    private val releases = LinkedHashSet<MachineName>()
+    private val gone = HashSet<MachineName>()
+    private val unneededSince = HashMap<MachineName, Duration>()
     private var requests = 0
     private var failures = 0
-    private var noted: Set<HostName> = emptySet()
+    private var noted: Set<MachineName> = emptySet()
     private var notedAt = Duration.ZERO
     private var summaryAt = Duration.ZERO
     private var tookOverAt = Duration.ZERO
@@ -87,16 +89,16 @@
                     round()
                     if (failures > 0) log.info("the cloud serves again after {} failures", failures)
                     failures = 0
-                } catch (e: Unavailable) {
+                } catch (e: ServiceUnavailableException) {
                     failed(e.message)
-                } catch (e: NoAnswer) {
+                } catch (e: NoResponseException) {
                     failed(e.message)
-                } catch (e: Malformed) {
+                } catch (e: MalformedMessageException) {
                     log.error("the cloud's answer cannot be read: {}", e.message)
                     delay(TROUBLE)
                 }
                 // A plan looks at every machine and task: in a large fleet it is made less often, so that
-                // reports and users have their turn.
+                // heartbeats and users have their turn.
                 delay(maxOf(ROUND, planning * PLAN_SHARE - (clock.now() - began)))
             }
         }
@@ -106,15 +108,15 @@
         delay(TROUBLE)
     }
 
-    /** A new owner starts from what its predecessor noted; the rest shows in the list and in reports. */
-    fun tookOver(
+    /** A new leader starts from what its predecessor noted; the rest shows in the list and in heartbeats. */
+    fun elected(
         noted: Any?,
         first: Boolean,
     ) {
         tookOverAt = clock.now()
-        // Workers are heard again within a few reports; until then a machine not heard of is neither
-        // missing nor up for return. A first owner has nothing to wait for.
-        settledAt = if (first) tookOverAt else tookOverAt + settings.workers.report * 2 + 2.seconds
+        // Workers are heard again within a few heartbeats; until then a machine not heard of is neither
+        // missing nor up for return. A first leader has nothing to wait for.
+        settledAt = if (first) tookOverAt else tookOverAt + settings.workers.heartbeatInterval * 2 + 2.seconds
         booting.clear()
         unsettled.clear()
         releases.clear()
@@ -126,26 +128,26 @@
         if (noted == null) return
         try {
             val now = clock.now()
-            for (f in Fields.of(noted, Keys.FLEET).maps("booting")) {
+            for (f in Fields.of(noted, Keys.BOOTING_MACHINES).maps("booting")) {
                 val age = (wallClock().toEpochMilli() - f.long("since_ms")).milliseconds
-                val name = HostName(f.text("host"))
-                booting[name] = Booting(name, Offer(f.text("type"), f.text("zone"), f.flag("spot")), now - age)
+                val name = MachineName(f.text("host"))
+                booting[name] = BootingMachine(name, Offer(f.text("type"), f.text("zone"), f.flag("spot")), now - age)
             }
-        } catch (e: Malformed) {
+        } catch (e: MalformedMessageException) {
             log.error("the note on booting machines cannot be read: {}", e.message)
         }
     }
 
     private suspend fun round() {
-        val asOf = flavorsAt
-        if (asOf == null || clock.now() - asOf > FLAVORS_EVERY) {
-            val all = cloud.flavors()
-            flavors = all.associateBy { it.label }
-            flavorsAt = clock.now()
-            flavorsKnown(all)
+        val asOf = instanceTypesReadAt
+        if (asOf == null || clock.now() - asOf > INSTANCE_TYPES_INTERVAL) {
+            val all = cloud.instanceTypes()
+            instanceTypes = all.associateBy { it.label }
+            instanceTypesReadAt = clock.now()
+            onInstanceTypes(all)
         }
-        if (!authority.mayStart(clock.now())) return
-        val term = authority.term ?: return
+        if (!leaderLease.mayStart(clock.now())) return
+        val term = leaderLease.term ?: return
         val view = view() ?: return
         val now = clock.now()
         for (m in view.machines) if (m.silentFor != null) booting.remove(m.name)
@@ -154,7 +156,7 @@
         giveUpBooting(view, now)
         if (booting.keys != noted && now - notedAt > NOTE_EVERY) note()
         val planBegan = clock.now()
-        val plan = planner.plan(view, booting.values.toList(), flavors) { (shut[it] ?: Duration.ZERO) > now }
+        val plan = planner.plan(view, booting.values.toList(), instanceTypes) { (shut[it] ?: Duration.ZERO) > now }
         planning += clock.now() - planBegan
         if (summaryAt + SUMMARY_EVERY <= now) {
             summaryAt = now
@@ -162,13 +164,13 @@
         }
         close(view, plan, now)
         release()
-        while (unsettled.isNotEmpty() && authority.mayStart(clock.now())) {
+        while (unsettled.isNotEmpty() && leaderLease.mayStart(clock.now())) {
             val (name, rent) = unsettled.first()
             rent(name, rent)
             unsettled.removeFirst()
         }
         for (rent in plan.rent) {
-            if (!authority.mayStart(clock.now())) return
+            if (!leaderLease.mayStart(clock.now())) return
             val name = "${settings.member}-${term.value}-${++requests}"
             unsettled.addLast(name to rent)
             rent(name, rent)
@@ -176,52 +178,52 @@
         }
     }
 
-    private fun summarize(view: FleetView) {
-        fun cpus(of: List<MachineView>) = of.sumOf { it.capacity?.cpus ?: 0.0 }.toInt()
+    private fun summarize(view: ClusterSnapshot) {
+        fun cpus(of: List<MachineSnapshot>) = of.sumOf { it.capacity?.cpus ?: 0.0 }.toInt()
         val up = view.machines.filter { it.silentFor != null }
         log.info(
-            "up {} processors ({} spot, {} closing, {} sick), {} in use ({} run, {} fetch), {} booting; " +
+            "up {} processors ({} spot, {} draining, {} quarantined), {} in use ({} run, {} fetch), {} booting; " +
                 "waiting {} for {} processor seconds",
             cpus(up),
             cpus(up.filter { it.offer.spot }),
-            cpus(up.filter { it.closing }),
-            cpus(up.filter { it.sick }),
-            up.sumOf { m -> m.running.sumOf { it.room.cpus } }.toInt(),
+            cpus(up.filter { it.isDraining }),
+            cpus(up.filter { it.isQuarantined }),
+            up.sumOf { m -> m.running.sumOf { it.resources.cpus } }.toInt(),
             up.sumOf { it.runningCpus }.toInt(),
             up.sumOf { it.fetchingCpus }.toInt(),
-            booting.values.sumOf { flavors[it.offer.type]?.cpus ?: 0.0 }.toInt(),
-            view.waiting.sumOf { it.tasks * it.room.cpus }.toInt(),
-            view.waiting.sumOf { it.tasks * it.room.cpus * it.seconds }.toInt(),
+            booting.values.sumOf { instanceTypes[it.offer.type]?.cpus ?: 0.0 }.toInt(),
+            view.waiting.sumOf { it.tasks * it.resources.cpus }.toInt(),
+            view.waiting.sumOf { it.tasks * it.resources.cpus * it.seconds }.toInt(),
         )
     }
 
-    private suspend fun view(): FleetView? {
-        val answer = CompletableDeferred<FleetView?>()
+    private suspend fun view(): ClusterSnapshot? {
+        val answer = CompletableDeferred<ClusterSnapshot?>()
         val view =
-            OwnerMessage.View { seen, took ->
+            LeaderMessage.TakeSnapshot { seen, took ->
                 planning += took
                 answer.complete(seen)
             }
-        if (!owner.post(view)) return null
+        if (!leader.enqueue(view)) return null
         return answer.await()
     }
 
     private suspend fun rent(
         name: String,
-        rent: Rent,
+        rent: ProvisioningRequest,
     ) {
-        val hosts = cloud.rent(name, rent.offer, rent.number)
+        val machineNames = cloud.provision(name, rent.offer, rent.number)
         val now = clock.now()
-        if (hosts == null || hosts.size < rent.number) shut[rent.offer] = now + SHUT
-        log.info("rented {} of {} {}", hosts?.size ?: 0, rent.number, rent.offer)
-        if (hosts.isNullOrEmpty()) return
-        for (host in hosts) booting[host] = Booting(host, rent.offer, now)
+        if (machineNames == null || machineNames.size < rent.number) shut[rent.offer] = now + SHUT
+        log.info("rented {} of {} {}", machineNames?.size ?: 0, rent.number, rent.offer)
+        if (machineNames.isNullOrEmpty()) return
+        for (machineName in machineNames) booting[machineName] = BootingMachine(machineName, rent.offer, now)
         note()
     }
 
-    /** A hint for the next owner, so that it does not rent for the same need again. */
+    /** A hint for the next leader, so that it does not rent for the same need again. */
     private suspend fun note() {
-        val version = authority.version ?: return
+        val version = leaderLease.version ?: return
         noted = booting.keys.toSet()
         notedAt = clock.now()
         val base = wallClock().toEpochMilli() - clock.now().inWholeMilliseconds
@@ -230,7 +232,7 @@
             booting.values
                 .takeWhile {
                     bytes += NOTED_BYTES + it.name.value.length + it.offer.type.length + it.offer.zone.length
-                    bytes <= settings.stateLimits.valueBytes
+                    bytes <= settings.storeLimits.valueBytes
                 }.map {
                     mapOf(
                         "host" to it.name.value,
@@ -241,45 +243,45 @@
                     )
                 }
         try {
-            state.txn(listOf(Guard(Keys.OWNER, version)), listOf(Write.Put(Keys.FLEET, mapOf("booting" to rows))))
-        } catch (e: Unavailable) {
+            store.compareAndSwap(listOf(Precondition(Keys.LEADER, version)), listOf(Write.Put(Keys.BOOTING_MACHINES, mapOf("booting" to rows))))
+        } catch (e: ServiceUnavailableException) {
             log.debug("booting machines not noted: {}", e.message)
-        } catch (e: NoAnswer) {
+        } catch (e: NoResponseException) {
             log.debug("booting machines perhaps not noted: {}", e.message)
         }
     }
 
     private suspend fun list(
-        view: FleetView,
+        view: ClusterSnapshot,
         now: Duration,
     ) {
-        val all = cloud.hosts()
+        val all = cloud.listMachines()
         listedAt = now
         returnMissing(all, view, now)
         val reporting = view.machines.associateBy { it.name }
-        // Noted by a former owner, or rented long enough ago to be listed, and not there: gone.
+        // Noted by a former leader, or rented long enough ago to be listed, and not there: gone.
         val listed = all.mapTo(HashSet()) { it.name }
         booting.values.removeAll { it.name !in listed && now - it.since > settings.listLag * 3 }
-        for (host in all) {
-            if (host.name in gone || host.name in releases) continue
-            val machine = reporting[host.name]
+        for (machineName in all) {
+            if (machineName.name in gone || machineName.name in releases) continue
+            val machine = reporting[machineName.name]
             val heard = machine?.silentFor
             when {
-                host.status == HostStatus.FAILED -> releases += host.name
+                machineName.status == MachineStatus.FAILED -> releases += machineName.name
                 heard != null -> Unit
-                host.name in booting -> {
-                    if (host.status == HostStatus.RUNNING) {
-                        booting.computeIfPresent(host.name) { _, b -> b.copy(up = true) }
+                machineName.name in booting -> {
+                    if (machineName.status == MachineStatus.RUNNING) {
+                        booting.computeIfPresent(machineName.name) { _, b -> b.copy(up = true) }
                     }
                 }
-                // Rented by a former owner, or by a request that came late: used like any other.
+                // Rented by a former leader, or by a request that came late: used like any other.
                 else -> {
-                    booting[host.name] =
-                        Booting(
-                            host.name,
-                            Offer(host.type, host.zone, host.spot),
-                            now - host.age,
-                            host.status == HostStatus.RUNNING,
+                    booting[machineName.name] =
+                        BootingMachine(
+                            machineName.name,
+                            Offer(machineName.type, machineName.zone, machineName.spot),
+                            now - machineName.age,
+                            machineName.status == MachineStatus.RUNNING,
                         )
                 }
             }
@@ -288,8 +290,8 @@
 
     /** Silent machines that the list would show if they existed: taken back while nobody heard of it. */
     private suspend fun returnMissing(
-        all: List<ListedHost>,
-        view: FleetView,
+        all: List<ListedMachine>,
+        view: ClusterSnapshot,
         listBegan: Duration,
     ) {
         val known = view.machines.map { KnownMachine(it.name, it.rentedBefore, it.unheardFor) }
@@ -301,7 +303,7 @@
     }
 
     private fun giveUpBooting(
-        view: FleetView,
+        view: ClusterSnapshot,
         now: Duration,
     ) {
         val heardZones =
@@ -312,8 +314,8 @@
         for (b in booting.values.toList()) {
             // A zone of which nothing is heard is cut off; its machines come back with it.
             if (b.up && b.offer.zone !in heardZones && now - tookOverAt < CUT_PATIENCE) continue
-            val boot = flavors[b.offer.type]?.boot ?: continue
-            // A machine that was up before this owner may be out of reach for a while with work on it.
+            val boot = instanceTypes[b.offer.type]?.boot ?: continue
+            // A machine that was up before this leader may be out of reach for a while with work on it.
             if (now - tookOverAt < settings.workers.lease * 2) continue
             if (now - b.since > maxOf(boot * 3, boot + LATE_BOOT)) {
                 log.warn("machine {} did not come up in {}: returned", b.name.value, now - b.since)
@@ -328,40 +330,40 @@
      * returned once empty, dear ones sooner. So are sick ones.
      */
     private suspend fun close(
-        view: FleetView,
-        plan: Plan,
+        view: ClusterSnapshot,
+        plan: CapacityPlan,
         now: Duration,
     ) {
         unneededSince.keys.retainAll(plan.unneeded)
         plan.unneeded.forEach { unneededSince.getOrPut(it) { now } }
 
         fun unneededFor(
-            m: MachineView,
+            m: MachineSnapshot,
             time: Duration,
         ) = unneededSince[m.name]?.let { now - it >= time } ?: false
-        owner.post(
-            OwnerMessage.Close(
-                view.machines.filter { it.sick || it.name in plan.unneeded }.mapTo(HashSet()) { it.name },
+        leader.enqueue(
+            LeaderMessage.Drain(
+                view.machines.filter { it.isQuarantined || it.name in plan.unneeded }.mapTo(HashSet()) { it.name },
                 view.machines.filter { unneededFor(it, tuning.idle) }.mapTo(HashSet()) { it.name },
             ),
         )
-        val empty = view.machines.filter { it.tasks == 0 && (it.sick || unneededFor(it, idleTime(it))) }.map { it.name }
+        val empty = view.machines.filter { it.tasks == 0 && (it.isQuarantined || unneededFor(it, idleTime(it))) }.map { it.name }
         if (empty.isNotEmpty()) takeAway(empty, evenIfBusy = false)
         val silent = silent(view)
         if (silent.isNotEmpty()) takeAway(silent, evenIfBusy = true)
     }
 
-    private fun idleTime(machine: MachineView): Duration {
+    private fun idleTime(machine: MachineSnapshot): Duration {
         if (machine.offer.spot) return tuning.idle
         return tuning.idle / DEAR_IDLE
     }
 
     private suspend fun takeAway(
-        hosts: List<HostName>,
+        machineNames: List<MachineName>,
         evenIfBusy: Boolean,
     ) {
-        val answer = CompletableDeferred<List<HostName>>()
-        if (owner.post(OwnerMessage.Releasing(hosts.toSet(), evenIfBusy) { answer.complete(it) })) {
+        val answer = CompletableDeferred<List<MachineName>>()
+        if (leader.enqueue(LeaderMessage.PrepareTermination(machineNames.toSet(), evenIfBusy) { answer.complete(it) })) {
             releases += answer.await()
         }
     }
@@ -372,33 +374,33 @@
      * has run out, which after a takeover is much later. A zone that is cut off as a whole may go on
      * working, so its machines are left alone until their leases are over.
      */
-    private fun silent(view: FleetView): List<HostName> {
+    private fun silent(view: ClusterSnapshot): List<MachineName> {
         val patience = settings.workers.lease * SILENT_SHARE
 
-        fun silence(m: MachineView): Duration = m.unheardFor
+        fun timeSinceContact(m: MachineSnapshot): Duration = m.unheardFor
         val heard =
             view.machines.groupBy { it.offer.zone }.mapValues { (_, all) ->
-                all.count { silence(it) < settings.workers.report * 3 } * 2 > all.size
+                all.count { timeSinceContact(it) < settings.workers.heartbeatInterval * 3 } * 2 > all.size
             }
         // A machine that only the records name has no zone here; most of all machines must be heard.
-        val most = view.machines.count { silence(it) < settings.workers.report * 3 } * 2 > view.machines.size
+        val most = view.machines.count { timeSinceContact(it) < settings.workers.heartbeatInterval * 3 } * 2 > view.machines.size
         val silentZones =
             view.machines
                 .groupBy { it.offer.zone }
-                .filterValues { all -> all.all { silence(it) > settings.workers.lease } }
+                .filterValues { all -> all.all { timeSinceContact(it) > settings.workers.lease } }
                 .keys
         return view.machines
             .filter { m ->
                 // The machines of a zone that is silent as a whole come back, empty, when the cut ends.
                 (
-                    m.leaseOver &&
+                    m.leaseExpired &&
                         m.silentFor != null &&
-                        silence(m) > patience &&
-                        (m.offer.zone !in silentZones || silence(m) > CUT_PATIENCE)
+                        timeSinceContact(m) > patience &&
+                        (m.offer.zone !in silentZones || timeSinceContact(m) > CUT_PATIENCE)
                 ) ||
                     (
                         m.tasks > 0 &&
-                            silence(m) > patience &&
+                            timeSinceContact(m) > patience &&
                             most &&
                             (m.offer.zone.isEmpty() || heard[m.offer.zone] == true)
                     )
@@ -408,11 +410,11 @@
     private suspend fun release() {
         if (releases.isEmpty()) return
         val names = releases.take(MAX_RELEASE)
-        cloud.release(names)
+        cloud.terminate(names)
         log.info("returned {}", names.joinToString { it.value })
         releases.removeAll(names.toSet())
         gone += names
-        owner.post(OwnerMessage.Released(names))
+        leader.enqueue(LeaderMessage.Terminated(names))
     }
 
     private companion object {
@@ -427,7 +429,7 @@
 
         /** An ordinary machine is kept idle for one part in so many of a spot machine's time. */
         const val DEAR_IDLE = 4
-        val FLAVORS_EVERY = 60.seconds
+        val INSTANCE_TYPES_INTERVAL = 60.seconds
         val CUT_PATIENCE = 120.seconds
         val NOTE_EVERY = 3.seconds
         val SUMMARY_EVERY = 10.seconds
--- a/src/main/kotlin/umberslip/records/DependencyState.kt
+++ b/src/main/kotlin/umberslip/records/DependencyState.kt
@@ -1,5 +1,7 @@
 package umberslip.records
 
+import umberslip.core.JobId
+
 /**
  * Whether a job is cancelled because one that it needs, directly or through others, is cancelled. That needs no
  * record of its own: it follows from the one end that was written, so every controller answers the same from the
@@ -20,22 +22,22 @@
         fun of(
             job: JobRecord,
             record: (JobId) -> JobRecord?,
-            end: (JobId) -> End?,
+            end: (JobId) -> JobOutcome?,
         ): DependencyState {
             val seen = HashSet<JobId>()
             val unread = LinkedHashSet<JobId>()
-            val open = ArrayDeque(job.spec.awaits)
+            val open = ArrayDeque(job.spec.dependencies)
             while (open.isNotEmpty()) {
                 val id = open.removeLast()
                 if (!seen.add(id)) continue
                 val needed = record(id)
                 if (needed != null) {
                     if (needed.cancelled) return Cancelled
-                    open += needed.spec.awaits
+                    open += needed.spec.dependencies
                 } else {
                     when (end(id)) {
-                        End.CANCELLED -> return Cancelled
-                        End.DONE -> Unit
+                        JobOutcome.CANCELLED -> return Cancelled
+                        JobOutcome.DONE -> Unit
                         null -> unread += id
                     }
                 }
--- /dev/null
+++ b/src/main/kotlin/umberslip/records/JobSpecCodec.kt
@@ -0,0 +1,151 @@
+package umberslip.records
+
+import umberslip.core.JobId
+import umberslip.core.JobSpec
+import umberslip.core.Priority
+import umberslip.core.Shape
+import umberslip.http.Fields
+import umberslip.http.MalformedMessageException
+
+/** The names of a job specification's fields, in submissions and in stored records alike. */
+private object JobSpecField {
+    const val ID = "uid"
+    const val JOB_CLASS = "jobclass"
+    const val TEAM = "owner"
+    const val SHAPE = "shape"
+    const val PRIORITY = "urgency"
+    const val TASKS = "pieces"
+    const val CPUS = "vcpus"
+    const val GPUS = "accelerators"
+    const val MEMORY_GB = "memory_gb"
+    const val IMAGE = "bundle"
+    const val IMAGE_GB = "image_gb"
+    const val INSTANCE_TYPES = "hosttypes"
+    const val ZONE = "hall"
+    const val ONE_ZONE = "one_zone"
+    const val SPREAD = "spread"
+    const val SPOT = "reclaimable"
+    const val EXPECTED_SECONDS = "expected_s"
+    const val CHECKPOINT_INTERVAL_SECONDS = "savepoint_s"
+    const val CHECKPOINT_SAVE_SECONDS = "saving_s"
+    const val DEADLINE_SECONDS = "due_s"
+    const val DEPENDENCIES = "awaits"
+}
+
+private val SHAPES = mapOf("array" to Shape.ARRAY, "gang" to Shape.GANG, "daemon" to Shape.DAEMON)
+private val SHAPE_NAMES = SHAPES.entries.associate { (name, shape) -> shape to name }
+
+private val PRIORITIES =
+    mapOf(
+        "critical" to Priority.CRITICAL,
+        "high" to Priority.HIGH,
+        "normal" to Priority.NORMAL,
+        "idle" to Priority.IDLE,
+    )
+private val PRIORITY_NAMES = PRIORITIES.entries.associate { (name, priority) -> priority to name }
+
+/** The specification as it is submitted and stored. A job without dependencies has no field for them. */
+fun JobSpec.toMap(): Map<String, Any?> =
+    mapOf(
+        JobSpecField.ID to id.value,
+        JobSpecField.JOB_CLASS to jobClass,
+        JobSpecField.TEAM to team,
+        JobSpecField.SHAPE to SHAPE_NAMES.getValue(shape),
+        JobSpecField.PRIORITY to PRIORITY_NAMES.getValue(priority),
+        JobSpecField.TASKS to tasks,
+        JobSpecField.CPUS to cpus,
+        JobSpecField.GPUS to gpus,
+        JobSpecField.MEMORY_GB to memoryGb,
+        JobSpecField.IMAGE to image,
+        JobSpecField.IMAGE_GB to imageGb,
+        JobSpecField.INSTANCE_TYPES to instanceTypes,
+        JobSpecField.ZONE to zone,
+        JobSpecField.ONE_ZONE to oneZone,
+        JobSpecField.SPREAD to spread,
+        JobSpecField.SPOT to spot,
+        JobSpecField.EXPECTED_SECONDS to expectedSeconds,
+        JobSpecField.CHECKPOINT_INTERVAL_SECONDS to checkpointIntervalSeconds,
+        JobSpecField.CHECKPOINT_SAVE_SECONDS to checkpointSaveSeconds,
+        JobSpecField.DEADLINE_SECONDS to deadlineSeconds,
+    ) + if (dependencies.isEmpty()) emptyMap() else mapOf(JobSpecField.DEPENDENCIES to dependencies.map { it.value })
+
+/** Reads job specifications, from submissions and from stored records. */
+object JobSpecCodec {
+    const val MAX_TASKS = 100_000L
+
+    /** No amount or time makes sense beyond it: thirty years of seconds. */
+    private const val MAX_AMOUNT = 1e9
+
+    /** @throws MalformedMessageException naming the field that is missing or invalid */
+    fun parse(fields: Fields): JobSpec {
+        val tasks = tasks(fields)
+        val cpus = amount(fields, JobSpecField.CPUS)
+        val gpus = amount(fields, JobSpecField.GPUS)
+        val memoryGb = amount(fields, JobSpecField.MEMORY_GB)
+        if (cpus + gpus + memoryGb <= 0) throw MalformedMessageException("a task takes nothing of its machine")
+        return JobSpec(
+            id = id(fields),
+            jobClass = fields.text(JobSpecField.JOB_CLASS),
+            team = fields.text(JobSpecField.TEAM),
+            shape = constant(fields, JobSpecField.SHAPE, SHAPES),
+            priority = constant(fields, JobSpecField.PRIORITY, PRIORITIES),
+            tasks = tasks,
+            cpus = cpus,
+            gpus = gpus,
+            memoryGb = memoryGb,
+            image = fields.text(JobSpecField.IMAGE),
+            imageGb = amount(fields, JobSpecField.IMAGE_GB),
+            instanceTypes = fields.textsOrNull(JobSpecField.INSTANCE_TYPES),
+            zone = fields.textOrNull(JobSpecField.ZONE),
+            oneZone = fields.flag(JobSpecField.ONE_ZONE),
+            spread = fields.flag(JobSpecField.SPREAD),
+            spot = fields.flag(JobSpecField.SPOT),
+            expectedSeconds = amount(fields, JobSpecField.EXPECTED_SECONDS),
+            checkpointIntervalSeconds = amount(fields, JobSpecField.CHECKPOINT_INTERVAL_SECONDS),
+            checkpointSaveSeconds = amount(fields, JobSpecField.CHECKPOINT_SAVE_SECONDS),
+            deadlineSeconds = amountOrNull(fields, JobSpecField.DEADLINE_SECONDS),
+            dependencies = dependencies(fields),
+        )
+    }
+
+    private fun id(fields: Fields): JobId =
+        JobId.parse(fields.text(JobSpecField.ID))
+            ?: throw MalformedMessageException("${JobSpecField.ID} is not a job id")
+
+    private fun tasks(fields: Fields): Int {
+        val tasks = fields.long(JobSpecField.TASKS)
+        if (tasks !in 1..MAX_TASKS) {
+            throw MalformedMessageException("${JobSpecField.TASKS} is not within 1..$MAX_TASKS")
+        }
+        return tasks.toInt()
+    }
+
+    private fun amount(
+        fields: Fields,
+        name: String,
+    ): Double {
+        val amount = fields.number(name)
+        if (amount !in 0.0..MAX_AMOUNT) throw MalformedMessageException("$name is not within 0.0..$MAX_AMOUNT")
+        return amount
+    }
+
+    private fun amountOrNull(
+        fields: Fields,
+        name: String,
+    ): Double? = if (fields.has(name)) amount(fields, name) else null
+
+    private fun <T : Any> constant(
+        fields: Fields,
+        name: String,
+        constants: Map<String, T>,
+    ): T = constants[fields.text(name)] ?: throw MalformedMessageException("$name has an unknown value")
+
+    private fun dependencies(fields: Fields): List<JobId> =
+        fields
+            .textsOrNull(JobSpecField.DEPENDENCIES)
+            .orEmpty()
+            .map { dependency ->
+                JobId.parse(dependency)
+                    ?: throw MalformedMessageException("${JobSpecField.DEPENDENCIES} names what is not a job id")
+            }.distinct()
+}
--- a/src/main/kotlin/umberslip/records/RecordPages.kt
+++ b/src/main/kotlin/umberslip/records/RecordPages.kt
@@ -1,7 +1,7 @@
 package umberslip.records
 
-import umberslip.state.Entry
-import umberslip.state.StateService
+import umberslip.store.Entry
+import umberslip.store.KeyValueStore
 
 /**
  * All records, page by page. They were not read at one moment: changes after [revision], that of the first page, may be
@@ -12,12 +12,12 @@
     val revision: Long,
 ) {
     companion object {
-        suspend fun read(state: StateService): RecordPages {
-            val first = state.list(Keys.ROOT, null)
+        suspend fun read(store: KeyValueStore): RecordPages {
+            val first = store.list(Keys.ROOT, null)
             val entries = ArrayList(first.entries)
             var page = first
             while (page.more && page.entries.isNotEmpty()) {
-                page = state.list(Keys.ROOT, entries.last().key)
+                page = store.list(Keys.ROOT, entries.last().key)
                 entries += page.entries
             }
             return RecordPages(entries, first.revision)
--- a/src/main/kotlin/umberslip/records/Replica.kt
+++ b/src/main/kotlin/umberslip/records/RecordReplica.kt
@@ -1,12 +1,14 @@
 package umberslip.records
 
 import org.slf4j.LoggerFactory
-import umberslip.cloud.HostName
+import umberslip.core.JobId
+import umberslip.core.MachineName
+import umberslip.core.Term
 import umberslip.http.Fields
-import umberslip.http.Malformed
-import umberslip.state.Change
-import umberslip.state.Entry
-import umberslip.state.Version
+import umberslip.http.MalformedMessageException
+import umberslip.store.Change
+import umberslip.store.Entry
+import umberslip.store.Version
 import java.util.BitSet
 
 /** What a change of the records means to those who act on them. */
@@ -17,17 +19,17 @@
     ) : RecordEvent
 
     /** The job's record is gone: it ended, and how is told by its end's record. */
-    data class JobGone(
+    data class JobRemoved(
         val id: JobId,
     ) : RecordEvent
 
-    /** Another controller answered reports of these machines lately. */
-    data class Relayed(
-        val hosts: Set<HostName>,
+    /** Another controller answered heartbeats of these machines lately. */
+    data class LeasesRenewedByFollower(
+        val machineNames: Set<MachineName>,
     ) : RecordEvent
 
-    data class OwnerChanged(
-        val owner: Versioned<OwnerRecord>?,
+    data class LeaderChanged(
+        val leader: Versioned<LeaderRecord>?,
     ) : RecordEvent
 }
 
@@ -39,16 +41,16 @@
 
 /** A reader's copy of the records, to look at and not to change. */
 interface RecordView {
-    val owner: Versioned<OwnerRecord>?
+    val leader: Versioned<LeaderRecord>?
     val term: Versioned<Term>?
-    val fleet: Any?
-    val condemned: Versioned<HostsRecord>?
+    val bootingMachines: Any?
+    val revokedRenewals: Versioned<MachineSetRecord>?
 
     fun job(id: JobId): Versioned<JobRecord>?
 
     fun jobs(): Map<JobId, Versioned<JobRecord>>
 
-    fun chunks(): Map<JobId, Map<Int, Versioned<ChunkRecord>>>
+    fun progressRecords(): Map<JobId, Map<Int, Versioned<ProgressRecord>>>
 
     /** Logged starts and ends by slot. */
     fun log(): Map<Int, Versioned<LogRecord>>
@@ -56,11 +58,11 @@
     fun progress(id: JobId): Progress
 }
 
-/** This controller's copy of the records of all jobs that have not ended. Pure state; the reading is the [Reader]'s. */
-class Replica : RecordView {
+/** This controller's copy of the records of all jobs that have not ended. Pure state; the reading is the [RecordWatcher]'s. */
+class RecordReplica : RecordView {
     private val log = LoggerFactory.getLogger("umberslip.records")
     private val jobs = HashMap<JobId, Versioned<JobRecord>>()
-    private val chunks = HashMap<JobId, HashMap<Int, Versioned<ChunkRecord>>>()
+    private val blocks = HashMap<JobId, HashMap<Int, Versioned<ProgressRecord>>>()
     private val entries = HashMap<Int, Versioned<LogRecord>>()
 
     /** The rows of the log by job, since every question about a job asks for its own. */
@@ -70,29 +72,29 @@
     /** The keys of records that cannot be read; they are left alone. */
     val unreadable: Set<String> get() = corrupt
 
-    override var owner: Versioned<OwnerRecord>? = null
+    override var leader: Versioned<LeaderRecord>? = null
         private set
     override var term: Versioned<Term>? = null
         private set
-    override var fleet: Any? = null
+    override var bootingMachines: Any? = null
         private set
-    override var condemned: Versioned<HostsRecord>? = null
+    override var revokedRenewals: Versioned<MachineSetRecord>? = null
         private set
 
     override fun job(id: JobId): Versioned<JobRecord>? = jobs[id]
 
     override fun jobs(): Map<JobId, Versioned<JobRecord>> = jobs
 
-    override fun chunks(): Map<JobId, Map<Int, Versioned<ChunkRecord>>> = chunks
+    override fun progressRecords(): Map<JobId, Map<Int, Versioned<ProgressRecord>>> = blocks
 
     override fun log(): Map<Int, Versioned<LogRecord>> = entries
 
     override fun progress(id: JobId): Progress {
-        val stored = chunks[id]?.values.orEmpty().map { it.value }
+        val stored = blocks[id]?.values.orEmpty().map { it.value }
         val storedSeq = stored.minOfOrNull { it.seq } ?: 0L
         val placed = BitSet()
         val done = BitSet()
-        for (chunk in stored) for (placement in chunk.placed) placed.set(placement.index)
+        for (block in stored) for (placement in block.placed) placed.set(placement.index)
         // Replayed in order, since a later entry may repeat what an earlier one says.
         for (row in rowsAfter(storedSeq, id)) {
             for (start in row.starts) placed.set(start.index)
@@ -130,15 +132,15 @@
         val seen = entries.mapTo(HashSet()) { it.key }
         val gone = ArrayList<String>()
         jobs.keys.forEach { gone += Keys.job(it) }
-        chunks.forEach { (id, all) -> all.keys.forEach { gone += Keys.chunk(id, it) } }
-        gone += Keys.OWNER
+        blocks.forEach { (id, all) -> all.keys.forEach { gone += Keys.progress(id, it) } }
+        gone += Keys.LEADER
         return gone.filter { it !in seen }.mapNotNull { drop(it, Version(Long.MAX_VALUE)) } + entries.mapNotNull(::put)
     }
 
     private fun put(entry: Entry): RecordEvent? =
         try {
             putParsed(entry)
-        } catch (e: Malformed) {
+        } catch (e: MalformedMessageException) {
             // Reported, never guessed at: the key is left alone and its job neither runs nor is forgotten.
             if (corrupt.add(entry.key)) {
                 log.error("record {} at {} cannot be read: {}", entry.key, entry.version.value, e.message)
@@ -148,17 +150,17 @@
 
     private fun putParsed(entry: Entry): RecordEvent? {
         val job = Keys.asJob(entry.key)
-        val chunk = if (job == null) Keys.asChunk(entry.key) else null
+        val block = if (job == null) Keys.asProgress(entry.key) else null
         val slot = Keys.asLog(entry.key)
         when {
             job != null -> return putJob(job, entry)
-            chunk != null -> putChunk(chunk.first, chunk.second, entry)
+            block != null -> putProgress(block.first, block.second, entry)
             slot != null -> putLogEntry(slot, entry)
-            entry.key == Keys.OWNER -> return putOwner(entry)
+            entry.key == Keys.LEADER -> return putOwner(entry)
             entry.key == Keys.TERM -> putTerm(entry)
-            entry.key == Keys.CONDEMNED -> putCondemned(entry)
-            entry.key == Keys.FLEET -> fleet = entry.data
-            Keys.isRelayed(entry.key) -> return RecordEvent.Relayed(HostsRecord.parse(entry.data).hosts)
+            entry.key == Keys.REVOKED_RENEWALS -> putRevokedRenewals(entry)
+            entry.key == Keys.BOOTING_MACHINES -> bootingMachines = entry.data
+            Keys.isFollowerRenewals(entry.key) -> return RecordEvent.LeasesRenewedByFollower(MachineSetRecord.parse(entry.data).machineNames)
         }
         return null
     }
@@ -176,13 +178,13 @@
         return RecordEvent.JobChanged(id, job)
     }
 
-    private fun putChunk(
+    private fun putProgress(
         id: JobId,
         number: Int,
         entry: Entry,
     ) {
-        val all = chunks.getOrPut(id) { HashMap() }
-        if (entry.isNewerThan(all[number])) all[number] = Versioned(ChunkRecord.parse(entry.data), entry.version)
+        val all = blocks.getOrPut(id) { HashMap() }
+        if (entry.isNewerThan(all[number])) all[number] = Versioned(ProgressRecord.parse(entry.data), entry.version)
     }
 
     private fun putLogEntry(
@@ -193,9 +195,9 @@
     }
 
     private fun putOwner(entry: Entry): RecordEvent? {
-        if (!entry.isNewerThan(owner)) return null
-        owner = Versioned(OwnerRecord.parse(entry.data), entry.version)
-        return RecordEvent.OwnerChanged(owner)
+        if (!entry.isNewerThan(leader)) return null
+        leader = Versioned(LeaderRecord.parse(entry.data), entry.version)
+        return RecordEvent.LeaderChanged(leader)
     }
 
     private fun putTerm(entry: Entry) {
@@ -203,8 +205,8 @@
         term = Versioned(Term(number), entry.version)
     }
 
-    private fun putCondemned(entry: Entry) {
-        if (entry.isNewerThan(condemned)) condemned = Versioned(HostsRecord.parse(entry.data), entry.version)
+    private fun putRevokedRenewals(entry: Entry) {
+        if (entry.isNewerThan(revokedRenewals)) revokedRenewals = Versioned(MachineSetRecord.parse(entry.data), entry.version)
     }
 
     private fun logged(
@@ -226,7 +228,7 @@
     ): RecordEvent? {
         corrupt.remove(key)
         val jobId = Keys.asJob(key)
-        val chunk = if (jobId == null) Keys.asChunk(key) else null
+        val block = if (jobId == null) Keys.asProgress(key) else null
         return when {
             jobId != null -> {
                 val job = jobs[jobId]?.takeIf { it.version.value < version.value }
@@ -234,23 +236,23 @@
                     null
                 } else {
                     jobs.remove(jobId)
-                    RecordEvent.JobGone(jobId)
+                    RecordEvent.JobRemoved(jobId)
                 }
             }
-            chunk != null -> {
-                val all = chunks[chunk.first]
+            block != null -> {
+                val all = blocks[block.first]
                 if (all != null) {
-                    val known = all[chunk.second]
-                    if (known != null && known.version.value < version.value) all.remove(chunk.second)
-                    if (all.isEmpty()) chunks.remove(chunk.first)
+                    val known = all[block.second]
+                    if (known != null && known.version.value < version.value) all.remove(block.second)
+                    if (all.isEmpty()) blocks.remove(block.first)
                 }
                 null
             }
-            key == Keys.OWNER -> {
-                val known = owner
+            key == Keys.LEADER -> {
+                val known = leader
                 if (known != null && known.version.value < version.value) {
-                    owner = null
-                    RecordEvent.OwnerChanged(null)
+                    leader = null
+                    RecordEvent.LeaderChanged(null)
                 } else {
                     null
                 }
--- a/src/main/kotlin/umberslip/records/Reader.kt
+++ b/src/main/kotlin/umberslip/records/RecordWatcher.kt
@@ -6,27 +6,27 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 import umberslip.actor.Actor
-import umberslip.actor.Clock
-import umberslip.http.NoAnswer
-import umberslip.http.Unavailable
-import umberslip.state.StateService
+import umberslip.core.Clock
+import umberslip.http.NoResponseException
+import umberslip.http.ServiceUnavailableException
+import umberslip.store.KeyValueStore
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-sealed interface ReaderMessage {
+sealed interface RecordWatcherMessage {
     /** Answered with a snapshot confirmed by a read begun after this came; null where that failed. */
     class Confirm(
         val answer: CompletableDeferred<RecordView?>,
-    ) : ReaderMessage
+    ) : RecordWatcherMessage
 
     /** Something was written that others should see soon. */
-    data object Nudge : ReaderMessage
+    data object Refresh : RecordWatcherMessage
 
-    class ReadEnded(
+    class ReadCompleted(
         val confirmed: Boolean,
-    ) : ReaderMessage
+    ) : RecordWatcherMessage
 
-    data object Due : ReaderMessage
+    data object Due : RecordWatcherMessage
 }
 
 /** What becomes of the events that reads bring; called on the actors' thread. */
@@ -41,21 +41,21 @@
  * Keeps the replica up to date by reading the changes after the last known revision. One read runs
  * at a time; all who ask while it runs share the next one.
  */
-class Reader(
+class RecordWatcher(
     private val scope: CoroutineScope,
-    private val state: StateService,
+    private val store: KeyValueStore,
     private val clock: Clock,
     /** How many requests there can be at once: each may wait for a read. */
     private val maxRequests: Int,
     private val listener: RecordListener,
-) : Actor<ReaderMessage>("records", scope, DEFAULT_CAPACITY + maxRequests) {
+) : Actor<RecordWatcherMessage>("records", scope, DEFAULT_CAPACITY + maxRequests) {
     private val maxWaiting = DEFAULT_CAPACITY + maxRequests
-    private val replica = Replica()
+    private val replica = RecordReplica()
     private var revision: Long? = null
     private var reading = false
     private var running = ArrayList<CompletableDeferred<RecordView?>>()
     private var waiting = ArrayList<CompletableDeferred<RecordView?>>()
-    private var nudged = false
+    private var refreshRequested = false
     private var failures = 0
     private var lastBegan = Duration.ZERO
     private var timer: Job? = null
@@ -66,23 +66,23 @@
 
     suspend fun confirm(): RecordView? {
         val answer = CompletableDeferred<RecordView?>()
-        if (!tell(ReaderMessage.Confirm(answer))) return null
+        if (!trySend(RecordWatcherMessage.Confirm(answer))) return null
         return answer.await()
     }
 
-    override fun start(): Job = super.start().also { tell(ReaderMessage.Nudge) }
+    override fun start(): Job = super.start().also { trySend(RecordWatcherMessage.Refresh) }
 
-    override suspend fun receive(message: ReaderMessage) {
+    override suspend fun receive(message: RecordWatcherMessage) {
         when (message) {
-            is ReaderMessage.Confirm -> {
+            is RecordWatcherMessage.Confirm -> {
                 if (waiting.size < maxWaiting) waiting.add(message.answer) else message.answer.complete(null)
             }
-            ReaderMessage.Nudge -> nudged = true
-            ReaderMessage.Due -> {
+            RecordWatcherMessage.Refresh -> refreshRequested = true
+            RecordWatcherMessage.Due -> {
                 timer = null
-                if (clock.now() - lastBegan >= IDLE) nudged = true
+                if (clock.now() - lastBegan >= IDLE) refreshRequested = true
             }
-            is ReaderMessage.ReadEnded -> {
+            is RecordWatcherMessage.ReadCompleted -> {
                 reading = false
                 val asked = running
                 running = ArrayList()
@@ -95,7 +95,7 @@
     private fun schedule() {
         if (reading) return
         val now = clock.now()
-        val wanted = nudged || waiting.isNotEmpty()
+        val wanted = refreshRequested || waiting.isNotEmpty()
         // Reads are spaced out: those who ask meanwhile share one, and the service's rate is kept.
         val gap = if (failures > 0) BACK_OFF else SPACING
         val since = now - lastBegan
@@ -107,7 +107,7 @@
                 scope.launch {
                     delay(if (wanted) gap - since else IDLE - since)
                     timer = null
-                    post(ReaderMessage.Due)
+                    enqueue(RecordWatcherMessage.Due)
                 }
         }
     }
@@ -116,20 +116,20 @@
         timer?.cancel()
         timer = null
         reading = true
-        nudged = false
+        refreshRequested = false
         lastBegan = now
         running = waiting
         waiting = ArrayList()
         scope.launch {
             val confirmed = read(now)
-            post(ReaderMessage.ReadEnded(confirmed))
+            enqueue(RecordWatcherMessage.ReadCompleted(confirmed))
         }
     }
 
     private suspend fun read(began: Duration): Boolean {
         try {
             val from = revision
-            val changes = if (from == null) null else state.changes(Keys.ROOT, from)
+            val changes = if (from == null) null else store.changes(Keys.ROOT, from)
             val events =
                 if (changes == null) {
                     readAll()
@@ -141,9 +141,9 @@
             confirmedAt = began
             listener.changed(events, began)
             return true
-        } catch (e: Unavailable) {
+        } catch (e: ServiceUnavailableException) {
             failed(e.message)
-        } catch (e: NoAnswer) {
+        } catch (e: NoResponseException) {
             failed(e.message)
         }
         return false
@@ -151,7 +151,7 @@
 
     private suspend fun readAll(): List<RecordEvent> {
         // Changes are taken up from the first page's revision: what the later pages already show is then seen twice.
-        val pages = RecordPages.read(state)
+        val pages = RecordPages.read(store)
         revision = pages.revision
         log.info("read {} records at revision {}", pages.entries.size, pages.revision)
         return replica.replace(pages.entries)
--- a/src/main/kotlin/umberslip/records/Records.kt
+++ b/src/main/kotlin/umberslip/records/Records.kt
@@ -1,78 +1,72 @@
 package umberslip.records
 
-import umberslip.cloud.HostName
+import umberslip.core.JobId
+import umberslip.core.JobSpec
+import umberslip.core.MachineName
+import umberslip.core.TaskId
+import umberslip.core.Term
 import umberslip.http.Fields
-import umberslip.http.Malformed
-import umberslip.state.Lease
-import umberslip.state.Version
+import umberslip.http.MalformedMessageException
+import umberslip.store.StoreLease
+import umberslip.store.Version
 import java.time.Instant
 import java.util.BitSet
 
-/** The owner's term: rises with every takeover, for ever. Workers know it as the warrant. */
-@JvmInline
-value class Term(
-    val value: Long,
-) : Comparable<Term> {
-    override fun compareTo(other: Term): Int = value.compareTo(other.value)
-
-    fun next(): Term = Term(value + 1)
-}
-
 /**
  * The keys. All that a controller replicates lies under [ROOT]; ends of jobs lie outside it, since
  * they are kept for ever and read one by one.
  */
 object Keys {
     const val ROOT = "u/"
-    const val OWNER = "u/owner"
+    const val LEADER = "u/owner"
     const val TERM = "u/term"
-    const val FLEET = "u/fleet"
-    const val CONDEMNED = "u/condemned"
+    const val BOOTING_MACHINES = "u/fleet"
+    const val REVOKED_RENEWALS = "u/condemned"
     private const val JOB = "u/job/"
-    private const val CHUNK = "u/run/"
+    private const val PROGRESS = "u/run/"
     private const val LOG = "u/log/"
-    private const val RELAYED = "u/relayed/"
-    private const val END = "end/"
+    private const val FOLLOWER_RENEWALS = "u/relayed/"
+    private const val OUTCOME = "end/"
 
     fun job(id: JobId): String = JOB + id.value
 
-    fun chunk(
+    fun progress(
         id: JobId,
-        chunk: Int,
-    ): String = "$CHUNK${id.value}/$chunk"
+        block: Int,
+    ): String = "$PROGRESS${id.value}/$block"
 
     fun log(slot: Int): String = LOG + slot
 
-    fun relayed(member: String): String = RELAYED + member
+    fun renewedByFollower(member: String): String = FOLLOWER_RENEWALS + member
 
-    fun end(id: JobId): String = END + id.value
+    fun outcome(id: JobId): String = OUTCOME + id.value
 
-    fun isRelayed(key: String): Boolean = key.startsWith(RELAYED)
+    fun isFollowerRenewals(key: String): Boolean = key.startsWith(FOLLOWER_RENEWALS)
 
     fun asLog(key: String): Int? = if (key.startsWith(LOG)) key.substring(LOG.length).toIntOrNull() else null
 
     fun asJob(key: String): JobId? = if (key.startsWith(JOB)) JobId.parse(key.substring(JOB.length)) else null
 
-    fun asChunk(key: String): Pair<JobId, Int>? =
-        if (key.startsWith(CHUNK)) {
-            TaskId.parse(key.substring(CHUNK.length))?.let { it.job to it.index }
+    fun asProgress(key: String): Pair<JobId, Int>? =
+        if (key.startsWith(PROGRESS)) {
+            TaskId.parse(key.substring(PROGRESS.length))?.let { it.job to it.index }
         } else {
             null
         }
 }
 
-/** Who owns, under which term, and under which lease of the state service. */
-data class OwnerRecord(
+/** Who leads, under which term, and under which lease of the key-value store. */
+data class LeaderRecord(
     val member: String,
     val term: Term,
-    val lease: Lease,
+    val lease: StoreLease,
 ) {
     fun toMap(): Map<String, Any?> = mapOf("member" to member, "term" to term.value, "hold" to lease.id)
 
     companion object {
-        fun parse(data: Any?): OwnerRecord =
-            Fields.of(data, Keys.OWNER).let {
-                OwnerRecord(it.text("member"), Term(it.long("term")), Lease(it.long("hold")))
+        fun parse(data: Any?): LeaderRecord =
+            Fields.of(data, Keys.LEADER).let {
+                LeaderRecord(it.text("member"), Term(it.long("term")), StoreLease(it.long("hold")))
             }
     }
 }
@@ -94,7 +88,7 @@
         fun parse(data: Any?): JobRecord =
             Fields.of(data).let {
                 JobRecord(
-                    JobSpec.parse(it.map("spec")),
+                    JobSpecCodec.parse(it.map("spec")),
                     Instant.ofEpochMilli(it.long("submitted_ms")),
                     it.flag("cancelled"),
                 )
@@ -102,7 +96,7 @@
     }
 }
 
-enum class End(
+enum class JobOutcome(
     val word: String,
 ) {
     DONE("done"),
@@ -110,17 +104,17 @@
 }
 
 /** How a job ended; never changed once written. */
-data class EndRecord(
-    val end: End,
+data class OutcomeRecord(
+    val end: JobOutcome,
     val tasks: Int,
 ) {
     fun toMap(): Map<String, Any?> = mapOf("status" to end.word, "pieces" to tasks)
 
     companion object {
-        fun parse(data: Any?): EndRecord =
+        fun parse(data: Any?): OutcomeRecord =
             Fields.of(data).let { f ->
-                EndRecord(
-                    End.entries.find { it.word == f.text("status") } ?: throw Malformed("unknown end"),
+                OutcomeRecord(
+                    JobOutcome.entries.find { it.word == f.text("status") } ?: throw MalformedMessageException("unknown end"),
                     f.long("pieces").toInt(),
                 )
             }
@@ -131,14 +125,14 @@
 data class Placement(
     val index: Int,
     val attempt: Long,
-    val host: HostName,
+    val machineName: MachineName,
 )
 
 /**
  * The progress of a run of a job's tasks: which are done, which are placed, and the highest attempt
  * number ever used there, so that numbers only rise. Starts logged up to [seq] are in it already.
  */
-data class ChunkRecord(
+data class ProgressRecord(
     val done: BitSet,
     val placed: List<Placement>,
     val lastAttempt: Long,
@@ -151,7 +145,7 @@
         mapOf(
             "seq" to seq,
             "done" to hex(done),
-            "placed" to placed.map { listOf(it.index, it.attempt, it.host.value) },
+            "placed" to placed.map { listOf(it.index, it.attempt, it.machineName.value) },
             "last" to lastAttempt,
         )
 
@@ -163,24 +157,24 @@
         private const val FIXED_BYTES = 200
 
         /** As many tasks as surely fit into one value. */
-        fun tasksPerChunk(valueBytes: Int): Int {
+        fun tasksPerBlock(valueBytes: Int): Int {
             val fitting = (valueBytes - FIXED_BYTES) / ENTRY_BYTES
             return fitting.coerceIn(MIN_TASKS, MAX_TASKS)
         }
 
-        fun parse(data: Any?): ChunkRecord =
+        fun parse(data: Any?): ProgressRecord =
             Fields.of(data).let { f ->
-                ChunkRecord(
+                ProgressRecord(
                     unhex(f.text("done")),
                     f.list("placed").map {
                         val row = it as? List<*>
                         val index = row?.getOrNull(0) as? Long
                         val attempt = row?.getOrNull(1) as? Long
-                        val host = row?.getOrNull(2) as? String
-                        if (index == null || attempt == null || host == null) {
-                            throw Malformed("a placement is not [task, attempt, host]")
+                        val machineName = row?.getOrNull(2) as? String
+                        if (index == null || attempt == null || machineName == null) {
+                            throw MalformedMessageException("a placement is not [task, attempt, host]")
                         }
-                        Placement(index.toInt(), attempt, HostName(host))
+                        Placement(index.toInt(), attempt, MachineName(machineName))
                     },
                     f.long("last"),
                     f.long("seq"),
@@ -190,10 +184,10 @@
         private fun hex(bits: BitSet): String = bits.toByteArray().joinToString("") { "%02x".format(it) }
 
         private fun unhex(text: String): BitSet {
-            if (text.length % 2 != 0) throw Malformed("odd number of hex digits")
+            if (text.length % 2 != 0) throw MalformedMessageException("odd number of hex digits")
             return BitSet.valueOf(
                 ByteArray(text.length / 2) {
-                    (text.substring(it * 2, it * 2 + 2).toIntOrNull(HEX) ?: throw Malformed("not hex")).toByte()
+                    (text.substring(it * 2, it * 2 + 2).toIntOrNull(HEX) ?: throw MalformedMessageException("not hex")).toByte()
                 },
             )
         }
@@ -201,7 +195,7 @@
 }
 
 /** A task of a job that ended on a machine, or is certainly not there any more. */
-data class Ended(
+data class LoggedExit(
     val index: Int,
     val attempt: Long,
     val done: Boolean,
@@ -210,12 +204,12 @@
 /** What a log entry says of one job. */
 data class LogRow(
     val starts: List<Placement>,
-    val ends: List<Ended>,
+    val ends: List<LoggedExit>,
 )
 
 /**
  * Starts and ends of tasks of many jobs in one value, so that they need few writes. The entry counts
- * for a chunk until the chunk's own record, written later and at leisure, has reached its [seq].
+ * for a progress block until the progress record, written later and at leisure, has reached its [seq].
  */
 data class LogRecord(
     val seq: Long,
@@ -228,7 +222,7 @@
                 rows.map { (job, row) ->
                     listOf(
                         job.value,
-                        row.starts.flatMap { listOf(it.index, it.attempt, it.host.value) },
+                        row.starts.flatMap { listOf(it.index, it.attempt, it.machineName.value) },
                         row.ends.filter { it.done }.flatMap { listOf(it.index, it.attempt) },
                         row.ends.filter { !it.done }.flatMap { listOf(it.index, it.attempt) },
                     )
@@ -254,10 +248,10 @@
 
         fun bytes(p: Placement): Int {
             val digits = p.index.toString().length + p.attempt.toString().length
-            return digits + p.host.value.length + START_BYTES
+            return digits + p.machineName.value.length + START_BYTES
         }
 
-        fun bytes(e: Ended): Int = e.index.toString().length + e.attempt.toString().length + END_BYTES
+        fun bytes(e: LoggedExit): Int = e.index.toString().length + e.attempt.toString().length + END_BYTES
 
         fun parse(data: Any?): LogRecord =
             Fields.of(data).let { f ->
@@ -265,15 +259,15 @@
             }
 
         private fun row(entry: Any?): Pair<JobId, LogRow> {
-            val row = entry as? List<*> ?: throw Malformed("a row of the log is not a list")
+            val row = entry as? List<*> ?: throw MalformedMessageException("a row of the log is not a list")
             val job =
-                (row.getOrNull(0) as? String)?.let(JobId::parse) ?: throw Malformed("a row of the log names no job")
+                (row.getOrNull(0) as? String)?.let(JobId::parse) ?: throw MalformedMessageException("a row of the log names no job")
             val starts =
-                flat(row, STARTS).chunked(START_FIELDS).map { (index, attempt, host) ->
-                    if (index !is Long || attempt !is Long || host !is String) {
-                        throw Malformed("a start is not [task, attempt, host]")
+                flat(row, STARTS).chunked(START_FIELDS).map { (index, attempt, machineName) ->
+                    if (index !is Long || attempt !is Long || machineName !is String) {
+                        throw MalformedMessageException("a start is not [task, attempt, host]")
                     }
-                    Placement(index.toInt(), attempt, HostName(host))
+                    Placement(index.toInt(), attempt, MachineName(machineName))
                 }
             return job to LogRow(starts, ends(flat(row, DONE), true) + ends(flat(row, GONE), false))
         }
@@ -281,24 +275,24 @@
         private fun flat(
             row: List<*>,
             at: Int,
-        ): List<*> = row.getOrNull(at) as? List<*> ?: throw Malformed("a row of the log lacks a list")
+        ): List<*> = row.getOrNull(at) as? List<*> ?: throw MalformedMessageException("a row of the log lacks a list")
 
         private fun ends(
             flat: List<*>,
             done: Boolean,
-        ): List<Ended> =
+        ): List<LoggedExit> =
             flat.chunked(END_FIELDS).map { (index, attempt) ->
-                if (index !is Long || attempt !is Long) throw Malformed("an end is not [task, attempt]")
-                Ended(index.toInt(), attempt, done)
+                if (index !is Long || attempt !is Long) throw MalformedMessageException("an end is not [task, attempt]")
+                LoggedExit(index.toInt(), attempt, done)
             }
     }
 }
 
-/** A set of machines: those whose leases only the owner may still renew, or those that were relayed. */
-data class HostsRecord(
-    val hosts: Set<HostName>,
+/** A set of machines: those whose leases only the leader may still renew, or those that were relayed. */
+data class MachineSetRecord(
+    val machineNames: Set<MachineName>,
 ) {
-    fun toMap(): Map<String, Any?> = mapOf("hosts" to hosts.map { it.value })
+    fun toMap(): Map<String, Any?> = mapOf("hosts" to machineNames.map { it.value })
 
     companion object {
         private const val FIXED_BYTES = 20
@@ -306,20 +300,20 @@
 
         /** The first of them, as many as fit into a value: a fleet may have more machines than that. */
         fun fitting(
-            hosts: Collection<HostName>,
+            machineNames: Collection<MachineName>,
             valueBytes: Int,
-        ): Set<HostName> {
+        ): Set<MachineName> {
             var bytes = FIXED_BYTES
-            return hosts
+            return machineNames
                 .takeWhile {
                     bytes += it.value.length + ENTRY_BYTES
                     bytes <= valueBytes
                 }.toSet()
         }
 
-        fun parse(data: Any?): HostsRecord =
-            HostsRecord(
-                (Fields.of(data).textsOrNull("hosts") ?: emptyList()).mapTo(HashSet(), ::HostName),
+        fun parse(data: Any?): MachineSetRecord =
+            MachineSetRecord(
+                (Fields.of(data).textsOrNull("hosts") ?: emptyList()).mapTo(HashSet(), ::MachineName),
             )
     }
 }
--- a/src/main/kotlin/umberslip/recovery/ControllerMetrics.kt
+++ b/src/main/kotlin/umberslip/recovery/ControllerMetrics.kt
@@ -1,6 +1,6 @@
 package umberslip.recovery
 
-import umberslip.records.Term
+import umberslip.core.Term
 import java.io.IOException
 import java.net.InetSocketAddress
 import java.net.URI
@@ -15,13 +15,13 @@
 sealed interface ControllerAnswer {
     val address: String
 
-    /** It owns; the snapshot is that of its term. */
-    data class Owner(
+    /** It leads; the snapshot is that of its term. */
+    data class Leader(
         override val address: String,
         val snapshot: RecoverySnapshot,
     ) : ControllerAnswer
 
-    data class NotOwner(
+    data class NotLeader(
         override val address: String,
     ) : ControllerAnswer
 
@@ -72,8 +72,8 @@
                 line.substringAfterLast(' ').toDoubleOrNull()?.let { samples[line.substringBeforeLast(' ')] = it }
             }
             val term = samples[exported(RecoveryMetrics.TERM)] ?: return ControllerAnswer.NotTracked(address)
-            if (term == 0.0) return ControllerAnswer.NotOwner(address)
-            return ControllerAnswer.Owner(address, snapshot(samples))
+            if (term == 0.0) return ControllerAnswer.NotLeader(address)
+            return ControllerAnswer.Leader(address, snapshot(samples))
         }
 
         private fun snapshot(samples: Map<String, Double>): RecoverySnapshot {
@@ -95,8 +95,8 @@
             )
         }
 
-        private fun findings(samples: Map<String, Double>): Map<TaskFinding, Int> =
-            TaskFinding.entries
+        private fun findings(samples: Map<String, Double>): Map<ReconciliationFinding, Int> =
+            ReconciliationFinding.entries
                 .associateWith { finding ->
                     val label = "${RecoveryMetrics.FINDING_TAG}=\"${finding.name.lowercase()}\""
                     samples["${exported(RecoveryMetrics.FINDINGS)}{$label}"]?.toInt() ?: 0
--- a/src/main/kotlin/umberslip/recovery/MissingMachines.kt
+++ b/src/main/kotlin/umberslip/recovery/MissingMachines.kt
@@ -1,13 +1,13 @@
 package umberslip.recovery
 
-import umberslip.cloud.HostName
+import umberslip.core.MachineName
 import umberslip.settings.Settings
 import umberslip.settings.Timings
 import kotlin.time.Duration
 
-/** A machine that the owner knows of, and since when it is known to have been rented. */
+/** A machine that the leader knows of, and since when it is known to have been rented. */
 class KnownMachine(
-    val name: HostName,
+    val name: MachineName,
     val rentedBefore: Duration,
     val silentFor: Duration,
 )
@@ -28,13 +28,13 @@
     private val listedWithin = timings.stretched(settings.listLag * MOST_LAGS) + timings.margin
 
     /** A machine that was heard this recently exists, whatever a list says. */
-    private val heardLately = settings.workers.report * REPORTS_MISSED
+    private val heardLately = settings.workers.heartbeatInterval * HEARTBEATS_MISSED
 
     fun of(
         listBegan: Duration,
-        listed: Set<HostName>,
+        listed: Set<MachineName>,
         machines: Collection<KnownMachine>,
-    ): List<HostName> =
+    ): List<MachineName> =
         machines
             .filter { it.name !in listed && listBegan >= it.rentedBefore + listedWithin && it.silentFor > heardLately }
             .map { it.name }
@@ -42,6 +42,6 @@
     private companion object {
         /** The list lags by twice the nominal time at most. */
         const val MOST_LAGS = 2
-        const val REPORTS_MISSED = 3
+        const val HEARTBEATS_MISSED = 3
     }
 }
--- a/src/main/kotlin/umberslip/recovery/TaskFinding.kt
+++ b/src/main/kotlin/umberslip/recovery/ReconciliationFinding.kt
@@ -1,15 +1,15 @@
 package umberslip.recovery
 
-import umberslip.agents.Machine
 import umberslip.agents.ReportedTask
 import umberslip.agents.TaskState
-import umberslip.dispatch.Assignment
-import umberslip.dispatch.RunningJob
-import umberslip.records.JobId
-import umberslip.records.TaskId
-
-/** What the owner does about a task, once it knows how the records and the machine's report compare. */
-enum class Decision {
+import umberslip.core.JobId
+import umberslip.core.TaskId
+import umberslip.scheduling.Assignment
+import umberslip.scheduling.Machine
+import umberslip.scheduling.RunningJob
+
+/** What the leader does about a task, once it knows how the records and the machine's heartbeat compare. */
+enum class ReconciliationDecision {
     /** It runs on; nothing is ordered. */
     KEEP,
 
@@ -27,39 +27,39 @@
 }
 
 /**
- * How a new owner finds a task, by the records that it took over and by the first report that proves what is on the
- * task's machine. Each finding has one decision. It is taken with the answer to that report; until such a report comes,
+ * How a new leader finds a task, by the records that it took over and by the first heartbeat that proves what is on the
+ * task's machine. Each finding has one decision. It is taken with the answer to that report; until such a heartbeat comes,
  * the task counts as running (see [RecoveryTracker.unheardMachines]).
  */
-enum class TaskFinding(
-    val decision: Decision,
+enum class ReconciliationFinding(
+    val decision: ReconciliationDecision,
 ) {
     /** Recorded, and the machine has it under the recorded attempt. */
-    ADOPTED(Decision.KEEP),
+    ADOPTED(ReconciliationDecision.KEEP),
 
-    /** Recorded, and the machine reports that it ended; the records do not say so yet. */
-    END_UNRECORDED(Decision.RECORD_END),
+    /** Recorded, and the machine heartbeats that it ended; the records do not say so yet. */
+    END_UNRECORDED(ReconciliationDecision.RECORD_END),
 
     /** Recorded, and still on the machine though its job was cancelled. */
-    CANCELLED(Decision.STOP),
+    CANCELLED(ReconciliationDecision.STOP),
 
     /** Recorded, and not on the machine: the order to start it was lost, or a lease that ran out killed it. */
-    NOT_REPORTED(Decision.TELL_START_AGAIN),
+    NOT_REPORTED(ReconciliationDecision.TELL_START_AGAIN),
 
     /** As [NOT_REPORTED], of a job that was cancelled. */
-    NOT_REPORTED_CANCELLED(Decision.WITHDRAW),
+    NOT_REPORTED_CANCELLED(ReconciliationDecision.WITHDRAW),
 
     /** On the machine though the records say that it is done. */
-    DONE_RUNNING(Decision.STOP),
-    DONE_ENDED(Decision.CLEAR),
+    DONE_RUNNING(ReconciliationDecision.STOP),
+    DONE_ENDED(ReconciliationDecision.CLEAR),
 
     /** On the machine under an attempt that is not recorded there: another one is, or none. */
-    OTHER_ATTEMPT_RUNNING(Decision.STOP),
-    OTHER_ATTEMPT_ENDED(Decision.CLEAR),
+    OTHER_ATTEMPT_RUNNING(ReconciliationDecision.STOP),
+    OTHER_ATTEMPT_ENDED(ReconciliationDecision.CLEAR),
 
     /** Of a job without a record: it has ended and its end is kept elsewhere, or it was never accepted. */
-    JOB_UNKNOWN_RUNNING(Decision.STOP),
-    JOB_UNKNOWN_ENDED(Decision.CLEAR),
+    JOB_UNKNOWN_RUNNING(ReconciliationDecision.STOP),
+    JOB_UNKNOWN_ENDED(ReconciliationDecision.CLEAR),
     ;
 
     companion object {
@@ -68,8 +68,8 @@
             machine: Machine,
             reported: List<ReportedTask>,
             jobs: Map<JobId, RunningJob>,
-        ): Map<TaskId, TaskFinding> {
-            val findings = LinkedHashMap<TaskId, TaskFinding>()
+        ): Map<TaskId, ReconciliationFinding> {
+            val findings = LinkedHashMap<TaskId, ReconciliationFinding>()
             for (task in reported) {
                 findings[task.task] = ofReported(task, recordedOn(machine, task.task), jobs[task.task.job])
             }
@@ -89,8 +89,8 @@
             reported: ReportedTask,
             recorded: Assignment?,
             job: RunningJob?,
-        ): TaskFinding {
-            val ended = reported.status == TaskState.ENDED
+        ): ReconciliationFinding {
+            val ended = reported.status == TaskState.EXITED
             return when {
                 recorded != null && recorded.attempt == reported.attempt -> ofRecorded(recorded, ended)
                 job == null -> if (ended) JOB_UNKNOWN_ENDED else JOB_UNKNOWN_RUNNING
@@ -102,7 +102,7 @@
         private fun ofRecorded(
             recorded: Assignment,
             ended: Boolean,
-        ): TaskFinding =
+        ): ReconciliationFinding =
             when {
                 ended -> END_UNRECORDED
                 recorded.job.cancelled -> CANCELLED
--- a/src/main/kotlin/umberslip/recovery/RecordedWork.kt
+++ b/src/main/kotlin/umberslip/recovery/RecordedWork.kt
@@ -1,30 +1,30 @@
 package umberslip.recovery
 
-import umberslip.cloud.HostName
-import umberslip.dispatch.SchedulerState
-import umberslip.records.JobId
+import umberslip.core.JobId
+import umberslip.core.MachineName
+import umberslip.core.TaskId
+import umberslip.core.Term
 import umberslip.records.Keys
 import umberslip.records.RecordPages
-import umberslip.records.Replica
-import umberslip.records.TaskId
-import umberslip.records.Term
+import umberslip.records.RecordReplica
+import umberslip.scheduling.SchedulerState
 import umberslip.settings.Settings
 import umberslip.settings.Timings
 import umberslip.settings.Tuning
-import umberslip.state.StateService
-import umberslip.state.Version
+import umberslip.store.KeyValueStore
+import umberslip.store.Version
 import java.time.Instant
 import kotlin.time.Duration
 
 /** Where a task's start is recorded, and under which attempt. */
 data class RecordedStart(
-    val host: HostName,
+    val machineName: MachineName,
     val attempt: Long,
 )
 
-/** What a new owner would take over at one moment, as the state service's records say. */
+/** What a new leader would take over at one moment, as the key-value store's records say. */
 class RecordedWork(
-    val owner: String?,
+    val leader: String?,
     val term: Term,
     val jobs: Set<JobId>,
     val cancelled: Set<JobId>,
@@ -35,12 +35,12 @@
 ) {
     val unfinishedJobs: Int get() = jobs.size - cancelled.size
 
-    val machinesWithTasks: Int get() = starts.values.mapTo(HashSet()) { it.host }.size
+    val machinesWithTasks: Int get() = starts.values.mapTo(HashSet()) { it.machineName }.size
 
     /** In lines, for people. */
     fun toText(): List<String> =
         listOf(
-            "records: owner ${owner ?: "nobody"}, term ${term.value}",
+            "records: owner ${leader ?: "nobody"}, term ${term.value}",
             "  $unfinishedJobs unfinished jobs, ${cancelled.size} cancelled with tasks left",
             "  ${starts.size} started tasks on $machinesWithTasks machines",
         ) + unreadable.sorted().map { "  record $it cannot be read" }
@@ -48,19 +48,19 @@
     companion object {
         /** Reads the records and changes nothing; takes as many requests as they have pages, and one more. */
         suspend fun read(
-            state: StateService,
+            store: KeyValueStore,
             settings: Settings,
         ): RecordedWork {
-            val pages = RecordPages.read(state)
-            val replica = Replica()
+            val pages = RecordPages.read(store)
+            val replica = RecordReplica()
             replica.replace(pages.entries)
-            state.changes(Keys.ROOT, pages.revision)?.changes?.forEach { replica.apply(it) }
+            store.changes(Keys.ROOT, pages.revision)?.changes?.forEach { replica.apply(it) }
             return of(replica, settings)
         }
 
-        /** Loaded as a new owner loads the records, so that both understand the same. */
+        /** Loaded as a new leader loads the records, so that both understand the same. */
         fun of(
-            replica: Replica,
+            replica: RecordReplica,
             settings: Settings,
         ): RecordedWork {
             val term = replica.term?.value ?: Term(0)
@@ -74,7 +74,7 @@
                 }
             }
             return RecordedWork(
-                owner = replica.owner?.value?.member,
+                leader = replica.leader?.value?.member,
                 term = term,
                 jobs = scheduler.jobs.keys.toSet(),
                 cancelled =
--- a/src/main/kotlin/umberslip/recovery/RecoveryMetrics.kt
+++ b/src/main/kotlin/umberslip/recovery/RecoveryMetrics.kt
@@ -24,7 +24,7 @@
         gauge(FIRST_ADOPTION) { seconds(it.firstAdoption) }
         gauge(MOST_ACCOUNTED_FOR) { seconds(it.mostAccountedFor) }
         gauge(SETTLED) { seconds(it.settled) }
-        for (finding in TaskFinding.entries) {
+        for (finding in ReconciliationFinding.entries) {
             Gauge
                 .builder(FINDINGS) { (current()?.findings?.get(finding) ?: 0).toDouble() }
                 .tag(FINDING_TAG, finding.name.lowercase())
--- a/src/main/kotlin/umberslip/recovery/RecoveryReport.kt
+++ b/src/main/kotlin/umberslip/recovery/RecoveryReport.kt
@@ -9,19 +9,19 @@
 enum class RecoveryStatus(
     val exitCode: Int,
 ) {
-    /** The owner has accounted for every start that it took over. */
+    /** The leader has accounted for every start that it took over. */
     SETTLED(0),
 
-    /** The owner still waits for machines. */
+    /** The leader still waits for machines. */
     RECOVERING(3),
 
-    /** The records name no owner: nothing is started until a controller takes over. */
+    /** The records name no leader: nothing is started until a controller takes over. */
     NO_OWNER(4),
 
-    /** The records name an owner that was not asked, does not answer, or does not track its recovery. */
+    /** The records name an leader that was not asked, does not answer, or does not track its recovery. */
     OWNER_NOT_HEARD(5),
 
-    /** Neither the records nor an owner could be read. */
+    /** Neither the records nor an leader could be read. */
     UNKNOWN(6),
 }
 
@@ -36,27 +36,27 @@
     ) : RecordsAnswer
 }
 
-/** The answers of the state service and of the controllers, side by side. */
+/** The answers of the key-value store and of the controllers, side by side. */
 class RecoveryReport(
     private val records: RecordsAnswer,
     private val controllers: List<ControllerAnswer>,
 ) {
     /** Of several that say they own, one has not yet noticed its successor: the highest term counts. */
-    private val owner: ControllerAnswer.Owner? =
-        controllers.filterIsInstance<ControllerAnswer.Owner>().maxByOrNull { it.snapshot.term }
+    private val leader: ControllerAnswer.Leader? =
+        controllers.filterIsInstance<ControllerAnswer.Leader>().maxByOrNull { it.snapshot.term }
 
     val status: RecoveryStatus =
         when {
-            owner != null && !isSuperseded(owner) ->
-                if (owner.snapshot.phase == RecoveryPhase.SETTLED) RecoveryStatus.SETTLED else RecoveryStatus.RECOVERING
+            leader != null && !isSuperseded(leader) ->
+                if (leader.snapshot.phase == RecoveryPhase.SETTLED) RecoveryStatus.SETTLED else RecoveryStatus.RECOVERING
             records is RecordsAnswer.Unreadable -> RecoveryStatus.UNKNOWN
-            (records as RecordsAnswer.Read).work.owner == null -> RecoveryStatus.NO_OWNER
+            (records as RecordsAnswer.Read).work.leader == null -> RecoveryStatus.NO_OWNER
             else -> RecoveryStatus.OWNER_NOT_HEARD
         }
 
-    private fun isSuperseded(owner: ControllerAnswer.Owner): Boolean =
+    private fun isSuperseded(leader: ControllerAnswer.Leader): Boolean =
         when (records) {
-            is RecordsAnswer.Read -> records.work.term > owner.snapshot.term
+            is RecordsAnswer.Read -> records.work.term > leader.snapshot.term
             is RecordsAnswer.Unreadable -> false
         }
 
@@ -75,14 +75,14 @@
 
     private fun controllerText(controller: ControllerAnswer): List<String> =
         when (controller) {
-            is ControllerAnswer.NotOwner -> listOf("${controller.address}: does not own")
+            is ControllerAnswer.NotLeader -> listOf("${controller.address}: does not own")
             is ControllerAnswer.NotTracked ->
                 listOf("${controller.address}: recovery is not tracked there (recovery.track)")
             is ControllerAnswer.Unreachable -> listOf("${controller.address}: unreachable: ${controller.why}")
-            is ControllerAnswer.Owner -> ownerText(controller.address, controller.snapshot)
+            is ControllerAnswer.Leader -> leaderText(controller.address, controller.snapshot)
         }
 
-    private fun ownerText(
+    private fun leaderText(
         address: String,
         snapshot: RecoverySnapshot,
     ): List<String> =
@@ -113,7 +113,7 @@
             is RecordsAnswer.Unreadable -> mapOf("error" to records.why)
             is RecordsAnswer.Read ->
                 mapOf(
-                    "owner" to records.work.owner,
+                    "owner" to records.work.leader,
                     "term" to records.work.term.value,
                     "unfinished_jobs" to records.work.unfinishedJobs,
                     "cancelled_jobs" to records.work.cancelled.size,
@@ -126,14 +126,14 @@
     private fun controllerMap(controller: ControllerAnswer): Map<String, Any?> {
         val address = mapOf("address" to controller.address)
         return when (controller) {
-            is ControllerAnswer.NotOwner -> address + ("state" to "not_owner")
+            is ControllerAnswer.NotLeader -> address + ("state" to "not_owner")
             is ControllerAnswer.NotTracked -> address + ("state" to "not_tracked")
             is ControllerAnswer.Unreachable -> address + mapOf("state" to "unreachable", "error" to controller.why)
-            is ControllerAnswer.Owner -> address + ("state" to "owner") + ("recovery" to ownerMap(controller.snapshot))
+            is ControllerAnswer.Leader -> address + ("state" to "owner") + ("recovery" to leaderMap(controller.snapshot))
         }
     }
 
-    private fun ownerMap(snapshot: RecoverySnapshot): Map<String, Any?> =
+    private fun leaderMap(snapshot: RecoverySnapshot): Map<String, Any?> =
         mapOf(
             "term" to snapshot.term.value,
             "phase" to snapshot.phase.name.lowercase(),
--- a/src/main/kotlin/umberslip/recovery/RecoveryTracker.kt
+++ b/src/main/kotlin/umberslip/recovery/RecoveryTracker.kt
@@ -1,12 +1,17 @@
 package umberslip.recovery
 
 import org.slf4j.LoggerFactory
-import umberslip.cloud.HostName
-import umberslip.records.Term
+import umberslip.agents.ReportedTask
+import umberslip.core.JobId
+import umberslip.core.MachineName
+import umberslip.core.Term
+import umberslip.scheduling.Machine
+import umberslip.scheduling.ReconciliationObserver
+import umberslip.scheduling.RunningJob
 import java.util.EnumMap
 import kotlin.time.Duration
 
-/** How far a new owner has come with comparing the records to what is on the machines. */
+/** How far a new leader has come with comparing the records to what is on the machines. */
 enum class RecoveryPhase {
     /** No machine with recorded tasks has reported yet. */
     WAITING,
@@ -29,7 +34,7 @@
     val unheardTasks: Int,
     /** Tasks recorded on machines that were given up: they wait to be started again. */
     val lostTasks: Int,
-    val findings: Map<TaskFinding, Int>,
+    val findings: Map<ReconciliationFinding, Int>,
     val firstAdoption: Duration?,
     val mostAccountedFor: Duration?,
     val settled: Duration?,
@@ -42,13 +47,13 @@
 class RecoveryTracker(
     private val term: Term,
     private val beganAt: Duration,
-) {
+) : ReconciliationObserver {
     private val log = LoggerFactory.getLogger("umberslip.recovery")
 
     /** How many starts are recorded on each machine that has not been heard. */
-    private val unheard = HashMap<HostName, Int>()
-    private val findings = EnumMap<TaskFinding, Int>(TaskFinding::class.java)
-    private var recordedTasks = 0
+    private val unheard = HashMap<MachineName, Int>()
+    private val findings = EnumMap<ReconciliationFinding, Int>(ReconciliationFinding::class.java)
+    private var totalTasks = 0
     private var unheardTasks = 0
     private var lostTasks = 0
     private var anyHeard = false
@@ -56,45 +61,50 @@
     private var mostAccountedForAt: Duration? = null
     private var settledAt: Duration? = null
 
-    val unheardMachines: Set<HostName> get() = unheard.keys
+    val unheardMachines: Set<MachineName> get() = unheard.keys
 
-    /** What was taken over: the number of starts recorded on each machine. */
-    fun tookOver(
-        recorded: Map<HostName, Int>,
+    override fun recordsLoaded(
+        recordedTasks: Map<MachineName, Int>,
         now: Duration,
     ) {
-        unheard.putAll(recorded)
-        recordedTasks = recorded.values.sum()
-        unheardTasks = recordedTasks
+        unheard.putAll(recordedTasks)
+        totalTasks = recordedTasks.values.sum()
+        unheardTasks = totalTasks
         accounted(now)
     }
 
-    /** A report has proved, for the first time in this term, what is on [host]. */
-    fun heard(
-        host: HostName,
-        found: Collection<TaskFinding>,
+    override fun machineReconciled(
+        machine: Machine,
+        reported: List<ReportedTask>,
+        jobs: Map<JobId, RunningJob>,
+        now: Duration,
+    ) = reconciled(machine.name, ReconciliationFinding.of(machine, reported, jobs).values, now)
+
+    /** A heartbeat has proved, for the first time in this term, what is on [machineName]. */
+    fun reconciled(
+        machineName: MachineName,
+        found: Collection<ReconciliationFinding>,
         now: Duration,
     ) {
         for (finding in found) findings.merge(finding, 1, Int::plus)
-        unheardTasks -= unheard.remove(host) ?: 0
+        unheardTasks -= unheard.remove(machineName) ?: 0
         anyHeard = true
-        if (firstAdoptionAt == null && TaskFinding.ADOPTED in found) firstAdoptionAt = now
+        if (firstAdoptionAt == null && ReconciliationFinding.ADOPTED in found) firstAdoptionAt = now
         accounted(now)
     }
 
-    /** [host] is certainly gone, with all that was recorded on it. */
-    fun gone(
-        host: HostName,
+    override fun machineLost(
+        name: MachineName,
         now: Duration,
     ) {
-        val tasks = unheard.remove(host) ?: return
+        val tasks = unheard.remove(name) ?: return
         unheardTasks -= tasks
         lostTasks += tasks
         accounted(now)
     }
 
     private fun accounted(now: Duration) {
-        if (mostAccountedForAt == null && (recordedTasks - unheardTasks) >= recordedTasks * MOST) {
+        if (mostAccountedForAt == null && (totalTasks - unheardTasks) >= totalTasks * MOST) {
             mostAccountedForAt = now
         }
         if (settledAt != null || unheard.isNotEmpty()) return
@@ -103,7 +113,7 @@
             "recovery under term {} settled after {}: {} recorded tasks, {} lost with their machines, found {}",
             term.value,
             now - beganAt,
-            recordedTasks,
+            totalTasks,
             lostTasks,
             findings,
         )
@@ -114,11 +124,11 @@
             term = term,
             phase = phase(),
             elapsed = now - beganAt,
-            recordedTasks = recordedTasks,
+            recordedTasks = totalTasks,
             unheardMachines = unheard.size,
             unheardTasks = unheardTasks,
             lostTasks = lostTasks,
-            findings = EnumMap<TaskFinding, Int>(TaskFinding::class.java).also { it.putAll(findings) },
+            findings = EnumMap<ReconciliationFinding, Int>(ReconciliationFinding::class.java).also { it.putAll(findings) },
             firstAdoption = firstAdoptionAt?.minus(beganAt),
             mostAccountedFor = mostAccountedForAt?.minus(beganAt),
             settled = settledAt?.minus(beganAt),
--- a/src/main/kotlin/umberslip/recovery/archive/ArchiveFile.kt
+++ b/src/main/kotlin/umberslip/recovery/archive/ArchiveFile.kt
@@ -5,8 +5,8 @@
 import com.github.luben.zstd.ZstdOutputStream
 import umberslip.http.Documents
 import umberslip.http.Fields
-import umberslip.http.Malformed
-import umberslip.state.Entry
+import umberslip.http.MalformedMessageException
+import umberslip.store.Entry
 import java.io.BufferedReader
 import java.io.BufferedWriter
 import java.io.EOFException
@@ -135,7 +135,7 @@
     ): T =
         try {
             with(Fields.of(Documents.readJson(line)))
-        } catch (e: Malformed) {
+        } catch (e: MalformedMessageException) {
             throw ArchiveException.Corrupt("a line cannot be read: ${e.message}")
         }
 
--- a/src/main/kotlin/umberslip/recovery/archive/RecordArchive.kt
+++ b/src/main/kotlin/umberslip/recovery/archive/RecordArchive.kt
@@ -1,17 +1,17 @@
 package umberslip.recovery.archive
 
 import umberslip.http.Fields
-import umberslip.http.Malformed
-import umberslip.records.Replica
-import umberslip.state.Entry
-import umberslip.state.Version
+import umberslip.http.MalformedMessageException
+import umberslip.records.RecordReplica
+import umberslip.store.Entry
+import umberslip.store.Version
 import java.time.Instant
 import java.time.format.DateTimeParseException
 
 /** When and from where an archive was taken. */
 data class ArchiveHeader(
     val taken: Instant,
-    /** The state service's revision when the first record was read; later records may show later changes. */
+    /** The key-value store's revision when the first record was read; later records may show later changes. */
     val revision: Long,
 ) {
     fun toMap(): Map<String, Any?> =
@@ -43,13 +43,13 @@
     }
 }
 
-/** The records of the state service at one moment, as kept in a file. */
+/** The records of the key-value store at one moment, as kept in a file. */
 data class RecordArchive(
     val header: ArchiveHeader,
     val entries: List<Entry>,
 ) {
     /** What a controller would have known that read these records. */
-    fun replica(): Replica = Replica().also { it.replace(entries) }
+    fun replica(): RecordReplica = RecordReplica().also { it.replace(entries) }
 }
 
 /** Why a file is not read as an archive. No part of such a file is used. */
@@ -87,7 +87,7 @@
     fun parse(fields: Fields): Entry =
         try {
             Entry(fields.text("path"), fields.raw()["data"], Version(fields.long("stamp")))
-        } catch (e: Malformed) {
+        } catch (e: MalformedMessageException) {
             throw ArchiveException.Corrupt("a record cannot be read: ${e.message}")
         }
 }
--- a/src/main/kotlin/umberslip/recovery/archive/RecordComparison.kt
+++ b/src/main/kotlin/umberslip/recovery/archive/RecordComparison.kt
@@ -1,9 +1,9 @@
 package umberslip.recovery.archive
 
-import umberslip.cloud.HostName
+import umberslip.core.JobId
+import umberslip.core.MachineName
+import umberslip.core.TaskId
 import umberslip.http.Documents
-import umberslip.records.JobId
-import umberslip.records.TaskId
 import umberslip.recovery.RecordedStart
 import umberslip.recovery.RecordedWork
 
@@ -32,8 +32,8 @@
     val newStarts: Int = after.starts.keys.count { it !in before.starts }
 
     /** Machines with recorded tasks before and none now, and the reverse. */
-    val emptiedMachines: Set<HostName> = machines(before) - machines(after)
-    val newMachines: Set<HostName> = machines(after) - machines(before)
+    val emptiedMachines: Set<MachineName> = machines(before) - machines(after)
+    val newMachines: Set<MachineName> = machines(after) - machines(before)
     val endedJobs: Set<JobId> = before.jobs - after.jobs
     val newJobs: Set<JobId> = after.jobs - before.jobs
     val newlyCancelledJobs: Set<JobId> = after.cancelled - before.cancelled
@@ -44,7 +44,7 @@
             (after.doneTasks[it] ?: 0) < (before.doneTasks[it] ?: 0)
         }
 
-    private fun machines(work: RecordedWork) = work.starts.values.mapTo(HashSet()) { it.host }
+    private fun machines(work: RecordedWork) = work.starts.values.mapTo(HashSet()) { it.machineName }
 
     private fun change(
         task: TaskId,
@@ -77,21 +77,21 @@
             }
         }.joinToString("\n")
 
-    private fun describe(work: RecordedWork) = "${work.owner ?: "nobody"} (term ${work.term.value})"
+    private fun describe(work: RecordedWork) = "${work.leader ?: "nobody"} (term ${work.term.value})"
 
     private fun name(change: TaskChange) = change.name.lowercase().replace('_', ' ')
 
     private fun place(
         work: RecordedWork,
         task: TaskId,
-    ) = work.starts.getValue(task).let { "${it.host.value} as attempt ${it.attempt}" }
+    ) = work.starts.getValue(task).let { "${it.machineName.value} as attempt ${it.attempt}" }
 
     fun toJson(): String =
         Documents.writeJson(
             mapOf(
                 "version" to FORMAT_VERSION,
-                "before" to owner(before),
-                "after" to owner(after),
+                "before" to leader(before),
+                "after" to leader(after),
                 "tasks" to TaskChange.entries.associate { it.name.lowercase() to count(it) },
                 "new_starts" to newStarts,
                 "started_again" to startedAgain(),
@@ -111,7 +111,7 @@
             .map { it.toString() }
             .sorted()
 
-    private fun owner(work: RecordedWork) = mapOf("owner" to work.owner, "term" to work.term.value)
+    private fun leader(work: RecordedWork) = mapOf("owner" to work.leader, "term" to work.term.value)
 
     private fun names(jobs: Set<JobId>) = jobs.map { it.value }.sorted()
 
--- a/src/main/kotlin/umberslip/dispatch/Pipelines.kt
+++ b/src/main/kotlin/umberslip/scheduling/DependencyGraph.kt
@@ -1,44 +1,44 @@
-package umberslip.dispatch
+package umberslip.scheduling
 
-import umberslip.records.End
-import umberslip.records.JobId
-import umberslip.records.Urgency
+import umberslip.core.JobId
+import umberslip.core.Priority
+import umberslip.records.JobOutcome
 import kotlin.time.Duration
 
 /** What a job takes over from those that need it. */
-data class Rank(
-    val urgency: Urgency,
+data class InheritedPriority(
+    val priority: Priority,
     val deadlines: List<Duration>,
 )
 
 /**
- * Which jobs wait for which. A needed job counts as done only by its recorded end: as this owner wrote it
+ * Which jobs wait for which. A needed job counts as done only by its recorded end: as this leader wrote it
  * in its term, or as it read it. Pure; [jobs] are the unfinished ones.
  */
-class Pipelines(
+class DependencyGraph(
     private val jobs: Map<JobId, RunningJob>,
 ) {
     /** Those that wait, by what they wait for. */
     private val needing = HashMap<JobId, LinkedHashSet<RunningJob>>()
     private val ends =
-        object : LinkedHashMap<JobId, End>() {
-            override fun removeEldestEntry(eldest: Map.Entry<JobId, End>) = size > MAX_ENDS
+        object : LinkedHashMap<JobId, JobOutcome>() {
+            override fun removeEldestEntry(eldest: Map.Entry<JobId, JobOutcome>) = size > MAX_ENDS
         }
     private val unreadEnds = LinkedHashSet<JobId>()
 
     /** Needed jobs that are over, or not known: how they ended is to be read. */
     val unread: Set<JobId> get() = unreadEnds
     private var changed = false
-    private var ranked: Map<RunningJob, Rank> = emptyMap()
+    private var ranked: Map<RunningJob, InheritedPriority> = emptyMap()
 
     /** A job came, in any order with those that it needs; answered with all that are cancelled by that. */
     fun came(job: RunningJob): List<RunningJob> {
         val id = job.spec.id
         unreadEnds -= id
-        for (needed in job.spec.awaits) {
+        for (needed in job.spec.dependencies) {
             when (ends[needed]) {
-                End.DONE -> Unit
-                End.CANCELLED -> job.dependencyCancelled = true
+                JobOutcome.DONE -> Unit
+                JobOutcome.CANCELLED -> job.dependencyCancelled = true
                 null -> {
                     needing.getOrPut(needed) { LinkedHashSet() } += job
                     job.pending += needed
@@ -51,7 +51,7 @@
                 }
             }
         }
-        if (job.spec.awaits.isNotEmpty() || id in needing) changed = true
+        if (job.spec.dependencies.isNotEmpty() || id in needing) changed = true
         return if (job.cancelled || job.dependencyCancelled) cancelDependents(job) else emptyList()
     }
 
@@ -74,14 +74,14 @@
     /** The recorded end of a job is known; answered with those for which that changes something. */
     fun ended(
         id: JobId,
-        end: End,
+        end: JobOutcome,
     ): List<RunningJob> {
         unreadEnds -= id
         ends[id] = end
         val waiting = needing.remove(id) ?: return emptyList()
         changed = true
         waiting.forEach { it.pending -= id }
-        if (end == End.DONE) return waiting.filter { !it.held }
+        if (end == JobOutcome.DONE) return waiting.filter { !it.held }
         return waiting.filter { !it.dependencyCancelled }.flatMap { job ->
             job.dependencyCancelled = true
             cancelDependents(job) + job
@@ -107,12 +107,12 @@
      * Urgency and deadlines flow backwards, a deadline less the run times between. Answered with the jobs
      * whose rank is another than before; worked out only when the graph has changed.
      */
-    fun rerank(): Map<RunningJob, Rank> {
+    fun inheritPriorities(): Map<RunningJob, InheritedPriority> {
         if (!changed) return emptyMap()
         changed = false
-        val now = HashMap<RunningJob, Rank>()
+        val now = HashMap<RunningJob, InheritedPriority>()
 
-        fun of(job: RunningJob) = now[job] ?: Rank(job.spec.urgency, emptyList())
+        fun of(job: RunningJob) = now[job] ?: InheritedPriority(job.spec.priority, emptyList())
         val open = ArrayDeque(needing.values.flatten())
         while (open.isNotEmpty()) {
             val job = open.removeFirst()
@@ -123,8 +123,8 @@
                 val other = jobs[needed] ?: continue
                 val known = of(other)
                 val merged =
-                    Rank(
-                        minOf(known.urgency, rank.urgency),
+                    InheritedPriority(
+                        minOf(known.priority, rank.priority),
                         (known.deadlines + deadlines).distinct().sorted().take(MAX_DEADLINES),
                     )
                 if (merged == known) continue
--- a/src/main/kotlin/umberslip/dispatch/Dispatcher.kt
+++ b/src/main/kotlin/umberslip/scheduling/Dispatcher.kt
@@ -1,9 +1,8 @@
-package umberslip.dispatch
+package umberslip.scheduling
 
-import umberslip.agents.Machine
-import umberslip.agents.Room
-import umberslip.records.Shape
-import umberslip.records.Urgency
+import umberslip.core.Priority
+import umberslip.core.Resources
+import umberslip.core.Shape
 import umberslip.settings.TeamSettings
 import java.util.TreeSet
 import kotlin.time.Duration
@@ -12,13 +11,13 @@
 
 /**
  * A team's dispatcher: its waiting jobs in order, and what its tasks hold of the machines.
- * One is hosted by the owner for each team.
+ * One is hosted by the leader for each team.
  */
 class Dispatcher(
     val team: TeamSettings,
     private val images: Set<String> = emptySet(),
 ) {
-    /** Jobs with tasks to place, in order; others are not looked at for every report. */
+    /** Jobs with tasks to place, in order; others are not looked at for every heartbeat. */
     private val queue = TreeSet(ORDER)
     val waiting: Collection<RunningJob> get() = queue
 
@@ -33,12 +32,12 @@
     /** Without a guarantee a team still has a share: that of the smallest unit. */
     val weight: Double = team.cpus.coerceAtLeast(1.0)
 
-    /** How many jobs were looked at for machines' free room: the work that reports cost. */
+    /** How many jobs were looked at for machines' free room: the work that heartbeats cost. */
     var considered = 0L
         private set
 
     /** No waiting task takes less of anything; null until asked for again. */
-    private var least: Room? = null
+    private var least: Resources? = null
 
     fun refresh(job: RunningJob) {
         if (if (job.waiting > 0) queue.add(job) else queue.remove(job)) least = null
@@ -49,7 +48,7 @@
     }
 
     /** Its place in the queue goes by what [change] changes. */
-    fun reposition(
+    fun reinsert(
         job: RunningJob,
         change: () -> Unit,
     ) {
@@ -67,36 +66,36 @@
         }
     }
 
-    fun take(room: Room) {
-        usedCpus += room.cpus
-        usedGpus += room.gpus
+    fun take(resources: Resources) {
+        usedCpus += resources.cpus
+        usedGpus += resources.gpus
     }
 
-    fun give(room: Room) {
-        usedCpus -= room.cpus
-        usedGpus -= room.gpus
+    fun give(resources: Resources) {
+        usedCpus -= resources.cpus
+        usedGpus -= resources.gpus
     }
 
-    fun withinLimit(room: Room): Boolean =
-        (team.cpusMax == null || usedCpus + room.cpus <= team.cpusMax + EPSILON) &&
-            (team.gpusMax == null || usedGpus + room.gpus <= team.gpusMax + EPSILON)
+    fun withinLimit(resources: Resources): Boolean =
+        (team.cpusMax == null || usedCpus + resources.cpus <= team.cpusMax + EPSILON) &&
+            (team.gpusMax == null || usedGpus + resources.gpus <= team.gpusMax + EPSILON)
 
-    fun withinGuarantee(room: Room): Boolean =
+    fun withinGuarantee(resources: Resources): Boolean =
         (team.cpus > 0 || team.gpus > 0) &&
-            usedCpus + room.cpus <= team.cpus + EPSILON &&
-            usedGpus + room.gpus <= team.gpus + EPSILON
+            usedCpus + resources.cpus <= team.cpus + EPSILON &&
+            usedGpus + resources.gpus <= team.gpus + EPSILON
 
     private var head: RunningJob? = null
     private var headSince: Duration = Duration.ZERO
 
     /** The job that would be placed first, if it has been so and found no place since [since]. */
-    fun stuckSince(
+    fun blockedHeadSince(
         since: Duration,
         now: Duration,
     ): RunningJob? {
         val first =
             queue.firstOrNull {
-                it.spec.shape != Shape.GANG && !it.isDoubtful && it.notBefore <= now && withinLimit(it.room)
+                it.spec.shape != Shape.GANG && !it.isQuarantined && it.retryAfter <= now && withinLimit(it.resources)
             }
         if (first !== head) {
             head = first
@@ -106,34 +105,34 @@
     }
 
     /** The first in order has had its chance; it counts as stuck only after as long again. */
-    fun startOver(now: Duration) {
+    fun restartHeadTimer(now: Duration) {
         headSince = now
     }
 
     /**
      * The first job, in order, that has a task for this machine's free room; but while that one has time,
-     * rather the first of its urgency whose image the machine has. A slot that waits for a fetch does
+     * rather the first of its priority whose image the machine has. A slot that waits for a fetch does
      * nothing, and under load every machine would fetch every image for one or two tasks at a time.
      */
     fun pick(
         machine: Machine,
-        free: Room,
+        free: Resources,
         now: Duration,
         within: Duration = Duration.INFINITE,
     ): RunningJob? {
         if (queue.isEmpty()) return null
-        // Most reports come from machines that are full; they are not to cost a look at every job that waits.
+        // Most heartbeats come from machines that are full; they are not to cost a look at every job that waits.
         val least =
             least
-                ?: Room(
-                    queue.minOf { it.room.cpus },
-                    queue.minOf { it.room.gpus },
-                    queue.minOf { it.room.memoryGb },
+                ?: Resources(
+                    queue.minOf { it.resources.cpus },
+                    queue.minOf { it.resources.gpus },
+                    queue.minOf { it.resources.memoryGb },
                 ).also { least = it }
         if (!free.covers(least)) return null
         var first: RunningJob? = null
         for (job in queue) {
-            if (first != null && job.urgency != first.urgency) break
+            if (first != null && job.priority != first.priority) break
             considered++
             if (first != null && job.spec.image !in machine.images) continue
             if (!mayPlace(job, machine, free, now, within)) continue
@@ -153,14 +152,14 @@
     fun mayPlace(
         job: RunningJob,
         machine: Machine,
-        free: Room,
+        free: Resources,
         now: Duration,
         within: Duration,
     ): Boolean {
-        if (machine.keptFor.let { it != null && it !== job }) return false
-        if (job.notBefore > now || !free.covers(job.room)) return false
-        if (job.isDoubtful && job.assigned.isNotEmpty()) return false
-        if (!machine.hasReportRoom(job.spec)) return false
+        if (machine.reservedFor.let { it != null && it !== job }) return false
+        if (job.retryAfter > now || !free.covers(job.resources)) return false
+        if (job.isQuarantined && job.assigned.isNotEmpty()) return false
+        if (!machine.fitsInHeartbeat(job.spec)) return false
         // The plan may count on a machine that cannot take the job just now; it is not to wait for ever beside one with
         // room.
         if (
@@ -170,8 +169,8 @@
         ) {
             return false
         }
-        if (job.spec.shape == Shape.GANG && !mayGather(job, now)) return false
-        if (!allowed(job, machine) || !withinLimit(job.room) || job.peek() == null) return false
+        if (job.spec.shape == Shape.GANG && !mayAssemble(job, now)) return false
+        if (!allowed(job, machine) || !withinLimit(job.resources) || job.peek() == null) return false
         if (job.spec.image !in machine.images && isBusyFetching(machine, job)) return false
         // A fetch takes longer than the next machine that has the image takes to find room.
         if (now - job.waitingSince < HOLD && job.spec.image in images && job.spec.image !in machine.images) return false
@@ -187,21 +186,21 @@
         job: RunningJob,
     ): Boolean =
         machine.fetches > 0 &&
-            job.urgency > Urgency.HIGH &&
-            machine.keptFor !== job &&
+            job.priority > Priority.HIGH &&
+            machine.reservedFor !== job &&
             machine.fetchSeconds(job.spec) >= LONG_FETCH
 
     /**
      * One gang at a time gathers slots, and none while tasks of its former attempt are still about:
      * they would have another attempt number.
      */
-    private fun mayGather(
+    private fun mayAssemble(
         job: RunningJob,
         now: Duration,
     ): Boolean {
-        if (job.gatherAgainAt > now) return false
+        if (job.nextAssemblyAt > now) return false
         if (job.assigned.values.any { !it.reserved }) return false
-        return queue.none { it !== job && it.gatheringSince != null }
+        return queue.none { it !== job && it.assemblingSince != null }
     }
 
     companion object {
@@ -217,12 +216,12 @@
         private val TIGHT = 20.seconds
         private val PASSED_OVER = 8.seconds
 
-        /** In seconds; a shorter fetch is over before the machine reports again. */
+        /** In seconds; a shorter fetch is over before the machine heartbeats again. */
         private const val LONG_FETCH = 4.0
 
         /** New work waits for a machine that has its image for this long. */
         private val HOLD = 1500.milliseconds
-        private val ORDER = compareBy<RunningJob>({ it.urgency }, { it.reachable }, { it.spec.id.value })
+        private val ORDER = compareBy<RunningJob>({ it.priority }, { it.reachable }, { it.spec.id.value })
 
         /** Whether a job's task may be on a machine at all, and given where the job's other tasks are. */
         fun allowed(
@@ -230,7 +229,7 @@
             machine: Machine,
         ): Boolean {
             val spec = job.spec
-            if (spec.types != null && machine.type !in spec.types) return false
+            if (spec.instanceTypes != null && machine.type !in spec.instanceTypes) return false
             if (spec.zone != null && machine.zone != spec.zone) return false
             if (machine.spot && !spec.spot) return false
             if (spec.oneZone && job.zones.isNotEmpty() && machine.zone !in job.zones) return false
--- a/src/main/kotlin/umberslip/dispatch/FailureTracker.kt
+++ b/src/main/kotlin/umberslip/scheduling/FailureTracker.kt
@@ -1,11 +1,9 @@
-package umberslip.dispatch
+package umberslip.scheduling
 
 import org.slf4j.LoggerFactory
-import umberslip.agents.Failures
-import umberslip.agents.Machine
-import umberslip.cloud.HostName
-import umberslip.records.JobId
-import umberslip.records.Shape
+import umberslip.core.JobId
+import umberslip.core.MachineName
+import umberslip.core.Shape
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
@@ -21,7 +19,7 @@
 class FailureTracker(
     private val jobs: Map<JobId, RunningJob>,
 ) {
-    private val log = LoggerFactory.getLogger("umberslip.dispatch")
+    private val log = LoggerFactory.getLogger("umberslip.scheduling")
 
     /** Jobs with failures since their last success. */
     private val failing = LinkedHashSet<RunningJob>()
@@ -34,7 +32,7 @@
         machine.failures.clear()
         if (!failing.remove(job)) return
         job.failures.clear()
-        job.isDoubtful = false
+        job.isQuarantined = false
     }
 
     /** A task of the job failed on the machine; [ranFor] is how long it ran, as far as that is known. */
@@ -65,9 +63,9 @@
     ) {
         val failsEverywhere = job.failures.machineCount >= FEW_MACHINES && job.doneCount == 0
         // Failures of tasks that began before the back-off did belong to the same try.
-        if (!failsEverywhere || now < job.notBefore) return
+        if (!failsEverywhere || now < job.retryAfter) return
         val wait = job.failures.nextBackOff()
-        job.notBefore = now + wait
+        job.retryAfter = now + wait
         log.warn(
             "job {} failed on {} machines and succeeded on none: waits {}",
             job.spec.id.value,
@@ -84,7 +82,7 @@
         val long = failures.longestRun + LONGER
         failures.isJobSound =
             job.doneCount > 0 || job.assigned.values.any { a -> a.runningSince.let { it != null && now - it > long } }
-        job.isDoubtful =
+        job.isQuarantined =
             !failures.isJobSound &&
             job.spec.shape == Shape.ARRAY &&
             failures.machineCount >= FEW_MACHINES &&
@@ -96,8 +94,8 @@
         machine: Machine,
         now: Duration,
     ) {
-        if (machine.sick || machine.failures.isEmpty() || !isSick(machine, now)) return
-        machine.sick = true
+        if (machine.isQuarantined || machine.failures.isEmpty() || !isSick(machine, now)) return
+        machine.isQuarantined = true
         log.warn(
             "machine {} fails the tasks of {} jobs: nothing more is placed there",
             machine.name.value,
@@ -109,12 +107,12 @@
         machine: Machine,
         now: Duration,
     ): Boolean {
-        val evidence = machine.failures.filterKeys { id -> jobs[id]?.isDoubtful == false }
+        val evidence = machine.failures.filterKeys { id -> jobs[id]?.isQuarantined == false }
         val ofSoundJobs = evidence.filterKeys { id -> jobs[id]?.failures?.isJobSound == true }
         if (ofSoundJobs.values.sumOf { it.count } >= FEW_FAILURES) return true
         if (evidence.size < FEW_JOBS) return false
         // Of jobs that are neither sound nor doubtful yet, other tasks get time to tell.
-        return ofSoundJobs.isNotEmpty() || evidence.values.all { now - it.first >= SETTLED }
+        return ofSoundJobs.isNotEmpty() || evidence.values.all { now - it.first >= OBSERVATION_TIME }
     }
 
     private companion object {
@@ -123,7 +121,7 @@
         const val FEW_JOBS = 2
 
         /** A job that fails everywhere fails on other machines within about this time. */
-        val SETTLED = 4.seconds
+        val OBSERVATION_TIME = 4.seconds
 
         /** A task that runs so much longer than those that failed is not expected to fail. */
         val LONGER = 5.seconds
@@ -132,7 +130,7 @@
 
 /** The failures of a job's tasks since the last success of one of them. */
 class JobFailures {
-    private val machines = HashSet<HostName>()
+    private val machines = HashSet<MachineName>()
     private var tries = 0
 
     /** A task of the job has completed, or keeps running: it does not fail everywhere. */
@@ -150,7 +148,7 @@
     val machineCount: Int get() = machines.size
 
     fun add(
-        machine: HostName,
+        machine: MachineName,
         ranFor: Duration,
     ) {
         machines += machine
--- a/src/main/kotlin/umberslip/dispatch/JobTargets.kt
+++ b/src/main/kotlin/umberslip/scheduling/JobObjectives.kt
@@ -1,6 +1,6 @@
-package umberslip.dispatch
+package umberslip.scheduling
 
-import umberslip.records.JobSpec
+import umberslip.core.JobSpec
 import umberslip.settings.Objective
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.hours
@@ -9,7 +9,7 @@
 /**
  * By when jobs should be done, as the operators' objectives and the jobs' own deadlines say. Pure.
  */
-class JobTargets(
+class JobObjectives(
     private val objectives: List<Objective>,
 ) {
     /**
@@ -32,7 +32,7 @@
         spec: JobSpec,
         submitted: Duration,
     ): List<Duration> {
-        val due = spec.dueSeconds ?: return emptyList()
+        val due = spec.deadlineSeconds ?: return emptyList()
         return deadlineTimes(spec).ifEmpty { listOf(1.0) }.map { submitted + (due * it).seconds }
     }
 
