--- a/src/main/kotlin/umberslip/dispatch/Owner.kt
+++ b/src/main/kotlin/umberslip/scheduling/Leader.kt
@@ -1,4 +1,4 @@
-package umberslip.dispatch
+package umberslip.scheduling
 
 import io.micrometer.core.instrument.MeterRegistry
 import kotlinx.coroutines.CoroutineScope
@@ -6,136 +6,133 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 import umberslip.actor.Actor
-import umberslip.actor.Clock
-import umberslip.agents.Machine
-import umberslip.agents.Mark
-import umberslip.agents.Order
-import umberslip.agents.Report
-import umberslip.cloud.Flavor
-import umberslip.cloud.HostName
-import umberslip.fleet.FleetView
-import umberslip.http.NoAnswer
+import umberslip.agents.Heartbeat
+import umberslip.agents.HeartbeatVersion
+import umberslip.agents.WorkerCommand
+import umberslip.cloud.InstanceType
+import umberslip.core.Clock
+import umberslip.core.JobId
+import umberslip.core.MachineName
+import umberslip.http.NoResponseException
+import umberslip.http.RateLimitedException
 import umberslip.http.Response
-import umberslip.http.Throttled
-import umberslip.http.Unavailable
-import umberslip.ownership.Authority
+import umberslip.http.ServiceUnavailableException
+import umberslip.leaderElection.LeaderLease
 import umberslip.peers.PeerHealth
-import umberslip.records.End
-import umberslip.records.EndRecord
-import umberslip.records.JobId
+import umberslip.records.JobOutcome
 import umberslip.records.Keys
-import umberslip.records.OwnerRecord
+import umberslip.records.LeaderRecord
+import umberslip.records.OutcomeRecord
 import umberslip.records.RecordEvent
 import umberslip.records.RecordView
-import umberslip.recovery.RecoveryMetrics
-import umberslip.recovery.RecoveryTracker
 import umberslip.settings.Settings
 import umberslip.settings.Timings
 import umberslip.settings.Tuning
-import umberslip.state.Guard
-import umberslip.state.Pacer
-import umberslip.state.StateService
-import umberslip.state.TxnResult
-import umberslip.state.Version
-import umberslip.state.Write
+import umberslip.store.KeyValueStore
+import umberslip.store.Precondition
+import umberslip.store.RateLimiter
+import umberslip.store.TransactionResult
+import umberslip.store.Version
+import umberslip.store.Write
 import java.time.Instant
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-sealed interface OwnerMessage {
-    class Reported(
-        val report: Report,
+sealed interface LeaderMessage {
+    class HeartbeatReceived(
+        val heartbeat: Heartbeat,
         val respond: (Response) -> Unit,
-    ) : OwnerMessage
+    ) : LeaderMessage
 
-    class TookOver(
+    class Elected(
         val records: RecordView,
         val silentUntil: Duration,
-    ) : OwnerMessage
+    ) : LeaderMessage
 
-    data object SteppedDown : OwnerMessage
+    data object SteppedDown : LeaderMessage
 
     class RecordsChanged(
         val events: List<RecordEvent>,
-    ) : OwnerMessage
+    ) : LeaderMessage
 
-    class Flavors(
-        val all: List<Flavor>,
-    ) : OwnerMessage
+    class InstanceTypesChanged(
+        val all: List<InstanceType>,
+    ) : LeaderMessage
 
-    class Written(
-        val batch: Batch,
-        val outcome: TxnResult?,
-    ) : OwnerMessage
+    class WriteCompleted(
+        val batch: WriteBatch,
+        val outcome: TransactionResult?,
+    ) : LeaderMessage
 
-    class Deal(
-        val host: HostName,
-        val mark: Mark,
-    ) : OwnerMessage
+    class ContinueDispatch(
+        val machineName: MachineName,
+        val heartbeatVersion: HeartbeatVersion,
+    ) : LeaderMessage
 
     /** How a job ended that others need; null where that could not be read. */
-    class EndRead(
+    class OutcomeRead(
         val scheduler: SchedulerState,
         val id: JobId,
-        val end: End?,
-    ) : OwnerMessage
+        val end: JobOutcome?,
+    ) : LeaderMessage
 
-    data object Tick : OwnerMessage
+    data object Tick : LeaderMessage
 
-    data object Flush : OwnerMessage
+    data object Flush : LeaderMessage
 
     /** From the fleet: asks for what it plans from; answered with how long that took, too. */
-    class View(
-        val answer: (FleetView?, Duration) -> Unit,
-    ) : OwnerMessage
+    class TakeSnapshot(
+        val answer: (ClusterSnapshot?, Duration) -> Unit,
+    ) : LeaderMessage
 
-    /** From the fleet: [hosts] get nothing new, all others may; from [emptied] what can be saved moves on. */
-    class Close(
-        val hosts: Set<HostName>,
-        val emptied: Set<HostName>,
-    ) : OwnerMessage
+    /** From the fleet: [machineNames] get nothing new, all others may; from [emptied] what can be saved moves on. */
+    class Drain(
+        val machineNames: Set<MachineName>,
+        val emptied: Set<MachineName>,
+    ) : LeaderMessage
 
     /** From the fleet: nothing more is told to these; answered with those that may go now. */
-    class Releasing(
-        val hosts: Set<HostName>,
+    class PrepareTermination(
+        val machineNames: Set<MachineName>,
         val evenIfBusy: Boolean,
-        val answer: (List<HostName>) -> Unit,
-    ) : OwnerMessage
+        val answer: (List<MachineName>) -> Unit,
+    ) : LeaderMessage
 
-    class Released(
-        val hosts: List<HostName>,
-    ) : OwnerMessage
+    class Terminated(
+        val machineNames: List<MachineName>,
+    ) : LeaderMessage
 }
 
-/** The owner's actor: workers' reports in, orders and records out. Decisions are the [SchedulerState]'s. */
-class Owner(
+/** The leader's actor: workers' heartbeats in, orders and records out. Decisions are the [SchedulerState]'s. */
+class Leader(
     private val scope: CoroutineScope,
     private val settings: Settings,
     private val tuning: Tuning,
     private val timings: Timings,
-    private val state: StateService,
-    private val writes: Pacer,
+    private val store: KeyValueStore,
+    private val writes: RateLimiter,
     private val clock: Clock,
     private val wallClock: () -> Instant,
-    private val authority: Authority,
-    private val nudge: () -> Unit,
+    private val leaderLease: LeaderLease,
+    private val refresh: () -> Unit,
     private val peerHealth: () -> PeerHealth,
-    private val metrics: MeterRegistry,
-) : Actor<OwnerMessage>("dispatch", scope, DEFAULT_CAPACITY + settings.sockets) {
+    private val termListener: LeaderTermListener,
+    metrics: MeterRegistry,
+) : Actor<LeaderMessage>("dispatch", scope, DEFAULT_CAPACITY + settings.sockets) {
     private class Waiting(
-        val mark: Mark,
+        val heartbeatVersion: HeartbeatVersion,
         val respond: (Response) -> Unit,
         val until: Duration,
     )
 
     private var scheduler: SchedulerState? = null
     private var maintenance: Maintenance? = null
-    private var flavors: List<Flavor> = emptyList()
-    private val waiting = HashMap<HostName, Waiting>()
+    private var instanceTypes: List<InstanceType> = emptyList()
+    private val waiting = HashMap<MachineName, Waiting>()
 
-    /** Workers sent to ask around, while nobody can say whether there is another owner. */
-    private val sentAway = HashSet<HostName>()
+    /** Workers sent to ask around, while nobody can say whether there is another leader. */
+    private val sentAway = HashSet<MachineName>()
 
     /** When the ends of needed jobs were last asked for. */
     private val askedEnds = HashMap<JobId, Duration>()
@@ -144,76 +141,76 @@
     private var flushedAt = Duration.ZERO
 
     /** Batches come no closer than this, however many writes are allowed: each is read by every controller. */
-    private val gather = maxOf(GATHER, (MIN_OPS / settings.stateLimits.writeRps).seconds)
-    private val reports = metrics.counter("umberslip.reports")
+    private val minBatchInterval = maxOf(MIN_BATCH_INTERVAL, (MIN_OPS / settings.storeLimits.writeRps).seconds)
+    private val heartbeats = metrics.counter("umberslip.reports")
     private val starts = metrics.counter("umberslip.starts")
     private val batches = metrics.counter("umberslip.batches")
     private val written = metrics.counter("umberslip.writes")
 
     override fun start(): Job {
-        if (tuning.recovery.track) RecoveryMetrics(metrics) { scheduler?.recovery?.snapshot(clock.now()) }.register()
         scope.launch {
             while (true) {
                 delay(TICK)
-                tell(OwnerMessage.Tick)
+                trySend(LeaderMessage.Tick)
             }
         }
         return super.start()
     }
 
-    override suspend fun receive(message: OwnerMessage) {
+    override suspend fun receive(message: LeaderMessage) {
         val now = clock.now()
         when (message) {
-            is OwnerMessage.Reported -> reported(message.report, message.respond, now)
-            is OwnerMessage.TookOver -> takeOver(message, now)
-            OwnerMessage.SteppedDown -> stepDown()
-            is OwnerMessage.RecordsChanged -> scheduler?.let { changed(it, message.events, now) }
-            is OwnerMessage.Flavors -> {
-                flavors = message.all
-                scheduler?.setFlavors(flavors)
+            is LeaderMessage.HeartbeatReceived -> reported(message.heartbeat, message.respond, now)
+            is LeaderMessage.Elected -> lead(message, now)
+            LeaderMessage.SteppedDown -> stepDown()
+            is LeaderMessage.RecordsChanged -> scheduler?.let { changed(it, message.events, now) }
+            is LeaderMessage.InstanceTypesChanged -> {
+                instanceTypes = message.all
+                scheduler?.setInstanceTypes(instanceTypes)
             }
-            is OwnerMessage.Written -> written(message, now)
-            is OwnerMessage.Deal -> dealOn(message, now)
-            is OwnerMessage.EndRead -> {
+            is LeaderMessage.WriteCompleted -> written(message, now)
+            is LeaderMessage.ContinueDispatch -> continueDispatch(message, now)
+            is LeaderMessage.OutcomeRead -> {
                 if (message.scheduler === scheduler && message.end != null) {
                     message.scheduler.ended(message.id, message.end, now)
                 }
             }
-            OwnerMessage.Tick -> tick(now)
-            OwnerMessage.Flush -> flush(now)
-            is OwnerMessage.View -> {
-                val view = scheduler?.let { FleetView.of(it, now) }
+            LeaderMessage.Tick -> tick(now)
+            LeaderMessage.Flush -> flush(now)
+            is LeaderMessage.TakeSnapshot -> {
+                val view = scheduler?.let { ClusterSnapshot.of(it, now) }
                 message.answer(view, clock.now() - now)
             }
-            is OwnerMessage.Close ->
+            is LeaderMessage.Drain ->
                 scheduler?.let { scheduler ->
-                    scheduler.machines.values.forEach { it.closing = it.name in message.hosts }
-                    maintenance?.moveOn(scheduler.machines.values.filter { it.name in message.emptied }, now)
+                    scheduler.machines.values.forEach { it.isDraining = it.name in message.machineNames }
+                    maintenance?.migrate(scheduler.machines.values.filter { it.name in message.emptied }, now)
                 }
-            is OwnerMessage.Releasing -> {
+            is LeaderMessage.PrepareTermination -> {
                 val machines = scheduler?.machines
                 message.answer(
-                    message.hosts.filter { name ->
+                    message.machineNames.filter { name ->
                         val machine = machines?.get(name)
                         val may = machine == null || message.evenIfBusy || machine.assignments.isEmpty()
-                        if (may) machine?.releasing = true
+                        if (may) machine?.isTerminating = true
                         may
                     },
                 )
             }
-            is OwnerMessage.Released -> scheduler?.released(message.hosts, now)
+            is LeaderMessage.Terminated -> scheduler?.released(message.machineNames, now)
         }
     }
 
-    private fun takeOver(
-        message: OwnerMessage.TookOver,
+    private fun lead(
+        message: LeaderMessage.Elected,
         now: Duration,
     ) {
-        val term = authority.term ?: return
-        val version = authority.version ?: return
-        val recovery = if (tuning.recovery.track) RecoveryTracker(term, now) else null
-        val fresh = SchedulerState(settings, timings, term, version, wallClock, recovery = recovery)
-        fresh.setFlavors(flavors)
+        val term = leaderLease.term ?: return
+        val version = leaderLease.version ?: return
+        val observer = termListener.elected(term, now)
+        val fresh =
+            SchedulerState(settings, timings, term, version, wallClock, reconciliationObserver = observer)
+        fresh.setInstanceTypes(instanceTypes)
         fresh.load(message.records, now, message.silentUntil)
         scheduler = fresh
         askedEnds.clear()
@@ -231,6 +228,7 @@
         if (scheduler != null) log.warn("no longer the owner")
         scheduler = null
         maintenance = null
+        termListener.steppedDown()
         waiting.values.forEach { it.respond(REFUSED) }
         waiting.clear()
     }
@@ -243,13 +241,13 @@
         for (event in events) {
             when (event) {
                 is RecordEvent.JobChanged -> scheduler.jobChanged(event.id, event.job, now)
-                is RecordEvent.JobGone -> scheduler.jobGone(event.id)
-                is RecordEvent.Relayed -> scheduler.relayed(event.hosts, now)
-                is RecordEvent.OwnerChanged -> Unit
+                is RecordEvent.JobRemoved -> scheduler.jobRemoved(event.id)
+                is RecordEvent.LeasesRenewedByFollower -> scheduler.renewedByFollower(event.machineNames, now)
+                is RecordEvent.LeaderChanged -> Unit
             }
         }
         readEnds(scheduler, now)
-        scheduler.rerank(now)
+        scheduler.inheritPriorities(now)
     }
 
     /** Ends of needed jobs that are not among the unfinished ones are read one by one; they never change. */
@@ -257,91 +255,91 @@
         scheduler: SchedulerState,
         now: Duration,
     ) {
-        if (scheduler.pipelines.unread.isEmpty()) {
+        if (scheduler.dependencyGraph.unread.isEmpty()) {
             askedEnds.clear()
             return
         }
-        for (id in scheduler.pipelines.unread
+        for (id in scheduler.dependencyGraph.unread
             .filter { now - (askedEnds[it] ?: -ASK_AGAIN) >= ASK_AGAIN }
             .take(MAX_ASKED)) {
             askedEnds[id] = now
             scope.launch {
                 val end =
                     try {
-                        state.get(Keys.end(id))?.let { EndRecord.parse(it.data).end }
-                    } catch (e: Unavailable) {
+                        store.get(Keys.outcome(id))?.let { OutcomeRecord.parse(it.data).end }
+                    } catch (e: ServiceUnavailableException) {
                         null
-                    } catch (e: NoAnswer) {
+                    } catch (e: NoResponseException) {
                         null
                     }
-                post(OwnerMessage.EndRead(scheduler, id, end))
+                enqueue(LeaderMessage.OutcomeRead(scheduler, id, end))
             }
         }
     }
 
-    // ---- reports ----
+    // ---- heartbeats ----
 
     private fun reported(
-        report: Report,
+        heartbeat: Heartbeat,
         respond: (Response) -> Unit,
         now: Duration,
     ) {
         val scheduler = scheduler
-        if (scheduler == null || !authority.mayAnswer(now)) {
+        if (scheduler == null || !leaderLease.mayAnswer(now)) {
             respond(REFUSED)
             return
         }
-        reports.increment()
-        if (mayBeReplaced(report.host, now)) {
+        heartbeats.increment()
+        if (mayBeReplaced(heartbeat.machineName, now)) {
             respond(Response.NOT_HERE)
             return
         }
-        when (scheduler.report(report, now)) {
-            Verdict.STALE -> respond(REFUSED)
-            Verdict.OUTRANKED -> {
+        when (scheduler.heartbeat(heartbeat, now)) {
+            HeartbeatDisposition.OUT_OF_DATE -> respond(REFUSED)
+            HeartbeatDisposition.SUPERSEDED -> {
                 respond(Response.error(421, "a higher term is known"))
-                authority.outranked()
+                leaderLease.superseded()
             }
-            Verdict.TOKEN_ONLY -> {
-                scheduler.answered(report.host, now)
+            HeartbeatDisposition.TOKEN_BEHIND -> {
+                scheduler.answered(heartbeat.machineName, now)
                 respond(Response(200, mapOf("warrant" to scheduler.term.value, "orders" to emptyList<Any>())))
             }
-            Verdict.ANSWER -> {
-                waiting.remove(report.host)?.respond?.invoke(REFUSED)
-                waiting[report.host] = Waiting(report.mark, respond, now + REPLY_WITHIN)
-                dealOn(OwnerMessage.Deal(report.host, report.mark), now)
+            HeartbeatDisposition.ACCEPTED -> {
+                waiting.remove(heartbeat.machineName)?.respond?.invoke(REFUSED)
+                waiting[heartbeat.machineName] = Waiting(heartbeat.heartbeatVersion, respond, now + REPLY_WITHIN)
+                continueDispatch(LeaderMessage.ContinueDispatch(heartbeat.machineName, heartbeat.heartbeatVersion), now)
             }
         }
     }
 
     /**
-     * Past its lease and with no other controller in reach, an owner may have a successor that its
+     * Past its lease and with no other controller in reach, an leader may have a successor that its
      * workers would find. It sends each to ask around; one that comes back found none, and is answered
-     * that time, so that its lease goes on where the state service is away for all.
+     * that time, so that its lease goes on where the key-value store is away for all.
      */
     private fun mayBeReplaced(
-        host: HostName,
+        machineName: MachineName,
         now: Duration,
     ): Boolean {
-        if (authority.mayStart(now) || peerHealth() != PeerHealth.NONE) {
+        if (leaderLease.mayStart(now) || peerHealth() != PeerHealth.NONE) {
             sentAway.clear()
             return false
         }
-        return sentAway.add(host) || !sentAway.remove(host)
+        return sentAway.add(machineName) || !sentAway.remove(machineName)
     }
 
     /** One round of placing for a machine; what the budget cuts off goes on after other messages had their turn. */
-    private fun dealOn(
-        deal: OwnerMessage.Deal,
+    private fun continueDispatch(
+        dispatch: LeaderMessage.ContinueDispatch,
         now: Duration,
     ) {
         val scheduler = scheduler ?: return
-        val machine = scheduler.machines[deal.host] ?: return
-        if (machine.mark != deal.mark) return
-        if (authority.mayStart(now)) {
+        val machine = scheduler.machines[dispatch.machineName] ?: return
+        if (machine.heartbeatVersion != dispatch.heartbeatVersion) return
+        if (leaderLease.mayStart(now)) {
             val end = now + tuning.roundBudget
-            if (!scheduler.deal(machine, now) { clock.now() > end }) {
-                post(deal)
+            if (!scheduler.dispatch(machine, now) { clock.now() > end }) {
+                enqueue(dispatch)
                 return
             }
         }
@@ -354,21 +352,21 @@
         now: Duration,
     ) {
         val waiter = waiting.remove(machine.name) ?: return
-        if (waiter.mark != machine.mark || machine.releasing || !authority.mayAnswer(now)) {
+        if (waiter.heartbeatVersion != machine.heartbeatVersion || machine.isTerminating || !leaderLease.mayAnswer(now)) {
             waiter.respond(REFUSED)
             return
         }
-        val orders = scheduler.orders(machine, authority.mayStart(now))
-        orders.forEach { if (it is Order.Start) starts.increment() }
+        val commands = scheduler.commands(machine, leaderLease.mayStart(now))
+        commands.forEach { if (it is WorkerCommand.Start) starts.increment() }
         scheduler.answered(machine.name, now)
-        waiter.respond(Response(200, mapOf("warrant" to scheduler.term.value, "orders" to orders.map { it.toMap() })))
+        waiter.respond(Response(200, mapOf("warrant" to scheduler.term.value, "orders" to commands.map { it.toMap() })))
     }
 
     private fun tick(now: Duration) {
         val scheduler = scheduler ?: return
         maintenance?.let {
             it.tick(now)
-            if (it.isUnheard(now) && peerHealth() == PeerHealth.SERVED) authority.unheard(now)
+            if (it.hasLostWorkers(now) && peerHealth() == PeerHealth.SERVED) leaderLease.lostContactWithWorkers(now)
         }
         readEnds(scheduler, now)
         for ((name, waiter) in waiting.entries.toList()) {
@@ -381,16 +379,16 @@
 
     private fun flush(now: Duration) {
         val scheduler = scheduler ?: return
-        if (writing || !authority.mayStart(now)) return
-        // Batches come no faster than the state service's rate lets them be; later ones hold more.
-        val wait = maxOf(writes.wait(MIN_OPS), flushedAt + gather - now)
+        if (writing || !leaderLease.mayStart(now)) return
+        // Batches come no faster than the key-value store's rate lets them be; later ones hold more.
+        val wait = maxOf(writes.wait(MIN_OPS), flushedAt + minBatchInterval - now)
         if (wait > Duration.ZERO) {
             flushIn(wait)
             return
         }
         val batch =
-            scheduler.pendingWrites.nextBatch(
-                minOf(settings.stateLimits.txnOps, writes.available().coerceAtLeast(MIN_OPS)),
+            scheduler.writeAheadLog.nextBatch(
+                minOf(settings.storeLimits.transactionOps, writes.available().coerceAtLeast(MIN_OPS)),
                 scheduler.machines.keys,
                 now,
             )
@@ -401,28 +399,28 @@
             writes.take(batch.writes.size, urgent = true)
             val outcome =
                 try {
-                    state.txn(batch.guards, batch.writes).also {
-                        if (it is TxnResult.Refused && Keys.OWNER !in it.failed) {
+                    store.compareAndSwap(batch.preconditions, batch.writes).also {
+                        if (it is TransactionResult.PreconditionFailed && Keys.LEADER !in it.failed) {
                             log.info("a batch was refused for {}", it.failed)
-                            settle(scheduler, it.failed)
-                            nudge()
+                            resolve(scheduler, it.failed)
+                            refresh()
                         }
                     }
-                } catch (e: Throttled) {
+                } catch (e: RateLimitedException) {
                     writes.lower()
                     notTaken(e)
-                } catch (e: Unavailable) {
+                } catch (e: ServiceUnavailableException) {
                     notTaken(e)
-                } catch (e: NoAnswer) {
+                } catch (e: NoResponseException) {
                     log.info("the fate of a batch is unknown: {}", e.message)
-                    if (fence(scheduler)) settle(scheduler, batch.guards.map { it.key }.filter { it != Keys.OWNER })
+                    if (fence(scheduler)) resolve(scheduler, batch.preconditions.map { it.key }.filter { it != Keys.LEADER })
                     null
                 }
-            post(OwnerMessage.Written(batch, outcome))
+            enqueue(LeaderMessage.WriteCompleted(batch, outcome))
         }
     }
 
-    private suspend fun notTaken(cause: Unavailable): TxnResult? {
+    private suspend fun notTaken(cause: ServiceUnavailableException): TransactionResult? {
         log.debug("a batch was not taken: {}", cause.message)
         delay(RETRY)
         return null
@@ -434,18 +432,18 @@
             scope.launch {
                 delay(wait)
                 flushTimer = null
-                post(OwnerMessage.Flush)
+                enqueue(LeaderMessage.Flush)
             }
     }
 
     private fun written(
-        message: OwnerMessage.Written,
+        message: LeaderMessage.WriteCompleted,
         now: Duration,
     ) {
         writing = false
         val scheduler = scheduler ?: return
         when (val outcome = message.outcome) {
-            is TxnResult.Applied -> {
+            is TransactionResult.Applied -> {
                 batches.increment()
                 written.increment(
                     message.batch.writes.size
@@ -455,58 +453,58 @@
                     scheduler.machines[name]?.let { if (!scheduler.hasUnrecorded(it)) answer(scheduler, it, now) }
                 }
             }
-            is TxnResult.Refused -> {
-                scheduler.pendingWrites.notApplied(message.batch)
-                if (Keys.OWNER in outcome.failed) {
-                    authority.lost("its record is not ours any more")
+            is TransactionResult.PreconditionFailed -> {
+                scheduler.writeAheadLog.notApplied(message.batch)
+                if (Keys.LEADER in outcome.failed) {
+                    leaderLease.lost("its record is not ours any more")
                     return
                 }
             }
-            is TxnResult.Rejected -> {
+            is TransactionResult.Rejected -> {
                 log.error("a batch of {} writes is too large or malformed: {}", message.batch.writes.size, outcome.why)
-                scheduler.pendingWrites.rejected(message.batch)
+                scheduler.writeAheadLog.rejected(message.batch)
             }
-            else -> scheduler.pendingWrites.notApplied(message.batch)
+            else -> scheduler.writeAheadLog.notApplied(message.batch)
         }
         flush(clock.now())
     }
 
     /**
      * A write without an answer may be carried out long after a read that does not show it. So before
-     * anything rests on such a read, the owner's record is written anew: every write of this term is
+     * anything rests on such a read, the leader's record is written anew: every write of this term is
      * guarded by that record's version, so what has not come through by then never will. False where the
      * record is not ours any more.
      */
     private suspend fun fence(scheduler: SchedulerState): Boolean {
         while (this.scheduler === scheduler) {
-            val version = authority.version ?: return false
-            val record = OwnerRecord(settings.member, scheduler.term, authority.lease ?: return false)
+            val version = leaderLease.version ?: return false
+            val record = LeaderRecord(settings.member, scheduler.term, leaderLease.lease ?: return false)
             try {
                 when (
                     val result =
-                        state.txn(
-                            listOf(Guard(Keys.OWNER, version)),
-                            listOf(Write.Put(Keys.OWNER, record.toMap(), record.lease)),
+                        store.compareAndSwap(
+                            listOf(Precondition(Keys.LEADER, version)),
+                            listOf(Write.Put(Keys.LEADER, record.toMap(), record.lease)),
                         )
                 ) {
-                    is TxnResult.Applied -> return fenced(scheduler, result.version)
-                    is TxnResult.Refused -> {
-                        // An earlier try without an answer came through, or somebody else owns.
-                        val entry = state.get(Keys.OWNER)
-                        if (entry != null && OwnerRecord.parse(entry.data) == record) {
+                    is TransactionResult.Applied -> return fenced(scheduler, result.version)
+                    is TransactionResult.PreconditionFailed -> {
+                        // An earlier try without an answer came through, or somebody else leads.
+                        val entry = store.get(Keys.LEADER)
+                        if (entry != null && LeaderRecord.parse(entry.data) == record) {
                             return fenced(scheduler, entry.version)
                         }
-                        authority.lost("its record is not ours any more")
+                        leaderLease.lost("its record is not ours any more")
                         return false
                     }
-                    TxnResult.NoLease, is TxnResult.Rejected -> {
-                        authority.lost("its lease has ended")
+                    TransactionResult.LeaseExpired, is TransactionResult.Rejected -> {
+                        leaderLease.lost("its lease has ended")
                         return false
                     }
                 }
-            } catch (e: Unavailable) {
+            } catch (e: ServiceUnavailableException) {
                 log.debug("not fenced yet: {}", e.message)
-            } catch (e: NoAnswer) {
+            } catch (e: NoResponseException) {
                 log.debug("perhaps not fenced yet: {}", e.message)
             }
             delay(RETRY)
@@ -518,8 +516,8 @@
         scheduler: SchedulerState,
         version: Version,
     ): Boolean {
-        authority.fenced(version)
-        scheduler.pendingWrites.fenced(version)
+        leaderLease.fenced(version)
+        scheduler.writeAheadLog.fenced(version)
         return true
     }
 
@@ -527,7 +525,7 @@
      * After a refusal, or when a write's fate is unknown and it is fenced off, the keys are read before
      * anything more is written to them.
      */
-    private suspend fun settle(
+    private suspend fun resolve(
         scheduler: SchedulerState,
         keys: List<String>,
     ) {
@@ -535,13 +533,13 @@
             var tries = 0
             while (this.scheduler === scheduler) {
                 try {
-                    val entry = state.get(key)
-                    scheduler.settle(key, entry?.version, entry?.data)
+                    val entry = store.get(key)
+                    scheduler.resolve(key, entry?.version, entry?.data)
                     break
-                } catch (e: Unavailable) {
+                } catch (e: ServiceUnavailableException) {
                     if (tries++ == 0) log.info("{} cannot be read yet: {}", key, e.message)
                     delay(RETRY)
-                } catch (e: NoAnswer) {
+                } catch (e: NoResponseException) {
                     if (tries++ == 0) log.info("{} cannot be read yet: {}", key, e.message)
                     delay(RETRY)
                 }
@@ -556,7 +554,7 @@
         const val MIN_OPS = 3
         val ASK_AGAIN = 2.seconds
         const val MAX_ASKED = 10
-        val GATHER = 75.milliseconds
+        val MIN_BATCH_INTERVAL = 75.milliseconds
         val REFUSED = Response.later(1, "not the owner, or an old report")
     }
 }
--- a/src/main/kotlin/umberslip/dispatch/Preemption.kt
+++ b/src/main/kotlin/umberslip/scheduling/Preemption.kt
@@ -1,9 +1,8 @@
-package umberslip.dispatch
+package umberslip.scheduling
 
 import org.slf4j.LoggerFactory
-import umberslip.agents.Machine
-import umberslip.records.Shape
-import umberslip.records.Urgency
+import umberslip.core.Priority
+import umberslip.core.Shape
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
@@ -16,7 +15,7 @@
 class Preemption(
     private val scheduler: SchedulerState,
 ) {
-    private val log = LoggerFactory.getLogger("umberslip.dispatch")
+    private val log = LoggerFactory.getLogger("umberslip.scheduling")
     private var lastRun: Duration? = null
 
     /** A job that waits for room, with the dispatcher of its team. */
@@ -24,7 +23,7 @@
         val team: Dispatcher,
         val job: RunningJob,
     ) {
-        val isGuaranteed = team.withinGuarantee(job.room)
+        val isGuaranteed = team.withinGuarantee(job.resources)
     }
 
     /** Runs unless the last run was a short while ago. */
@@ -40,7 +39,7 @@
         var stoppingCpus = victims.sumOf(::stoppingCpus)
         // The rest have their turn when these are placed.
         for (claimant in claimants.take(MAX_CLAIMANTS)) {
-            if (!claimant.team.withinLimit(claimant.job.room)) continue
+            if (!claimant.team.withinLimit(claimant.job.resources)) continue
             if (victims.none { mayPreempt(claimant, it) }) continue
             val missing = missingCpus(claimant, usable)
             val covered = minOf(stoppingCpus, missing.coerceAtLeast(0.0))
@@ -49,37 +48,37 @@
         }
     }
 
-    /** Those below their guarantee first, then by urgency, then by deadline. */
+    /** Those below their guarantee first, then by priority, then by deadline. */
     private fun claimants(now: Duration): List<Claimant> =
         scheduler.teams.values
             .flatMap { team -> team.waiting.filter { isStarved(it, now) }.map { Claimant(team, it) } }
-            .sortedWith(compareBy({ !it.isGuaranteed }, { it.job.urgency }, { it.job.due }))
+            .sortedWith(compareBy({ !it.isGuaranteed }, { it.job.priority }, { it.job.due }))
 
     private fun isStarved(
         job: RunningJob,
         now: Duration,
     ): Boolean =
         job.spec.shape == Shape.ARRAY &&
-            !job.isDoubtful &&
-            job.notBefore <= now &&
+            !job.isQuarantined &&
+            job.retryAfter <= now &&
             now - job.waitingSince > PATIENCE
 
     /** Jobs whose tasks save, the first to give way first. They are ordered by job, so their tasks need no sorting. */
     private fun victims(): List<RunningJob> =
         scheduler.jobs.values
-            .filter { it.spec.checkpointSeconds > 0 && it.spec.shape == Shape.ARRAY && it.assigned.isNotEmpty() }
-            .sortedWith(compareBy({ -it.urgency.ordinal }, { -it.due.inWholeMilliseconds }))
+            .filter { it.spec.checkpointIntervalSeconds > 0 && it.spec.shape == Shape.ARRAY && it.assigned.isNotEmpty() }
+            .sortedWith(compareBy({ -it.priority.ordinal }, { -it.due.inWholeMilliseconds }))
 
     private fun stoppingCpus(job: RunningJob): Double {
-        val stopping = job.assigned.values.filter { it.windDown != null }
-        return stopping.sumOf { it.room.cpus }
+        val stopping = job.assigned.values.filter { it.gracePeriod != null }
+        return stopping.sumOf { it.resources.cpus }
     }
 
     private fun mayPreempt(
         claimant: Claimant,
         victim: RunningJob,
     ): Boolean {
-        if (victim.urgency > claimant.job.urgency) return true
+        if (victim.priority > claimant.job.priority) return true
         val victimTeam = scheduler.teams[victim.spec.team] ?: return false
         return claimant.isGuaranteed && victimTeam !== claimant.team && victimTeam.usedCpus > victimTeam.team.cpus
     }
@@ -91,9 +90,9 @@
     ): Double {
         val job = claimant.job
         val team = claimant.team
-        var missing = job.waiting * job.room.cpus
+        var missing = job.waiting * job.resources.cpus
         team.team.cpusMax?.let { missing = minOf(missing, it - team.usedCpus) }
-        if (claimant.isGuaranteed && job.urgency == Urgency.IDLE) {
+        if (claimant.isGuaranteed && job.priority == Priority.IDLE) {
             missing = minOf(missing, team.team.cpus - team.usedCpus)
         }
         return missing - usable.sumOf { freeCpus(it, job) }
@@ -104,7 +103,7 @@
         job: RunningJob,
     ): Double {
         if (!Dispatcher.allowed(job, machine)) return 0.0
-        return (machine.free()?.times(job.room) ?: 0) * job.room.cpus
+        return (machine.free()?.countOf(job.resources) ?: 0) * job.resources.cpus
     }
 
     private fun makeRoom(
@@ -118,9 +117,9 @@
             for (assignment in victim.assigned.values) {
                 if (missing <= 0) return
                 if (!isWorthStopping(assignment, claimant.job, now)) continue
-                scheduler.stop(assignment, victim.spec.savingSeconds.seconds)
-                missing -= assignment.room.cpus
-                log.debug("{} gives way on {}", assignment.id, assignment.host.value)
+                scheduler.stop(assignment, victim.spec.checkpointSaveSeconds.seconds)
+                missing -= assignment.resources.cpus
+                log.debug("{} gives way on {}", assignment.id, assignment.machineName.value)
             }
         }
     }
@@ -131,8 +130,8 @@
         now: Duration,
     ): Boolean {
         val left = assignment.left(now) ?: return false
-        if (left <= MIN_LEFT || !assignment.mayMove(now, MIN_RUN)) return false
-        val machine = scheduler.machines[assignment.host] ?: return false
+        if (left <= MIN_REMAINING || !assignment.mayMigrate(now, MIN_RUN)) return false
+        val machine = scheduler.machines[assignment.machineName] ?: return false
         return machine.usable && Dispatcher.allowed(claimant, machine)
     }
 
@@ -146,7 +145,7 @@
         val MIN_RUN = 32.seconds
 
         /** A task that has less left than this frees its room soon by itself. */
-        val MIN_LEFT = 10.seconds
+        val MIN_REMAINING = 10.seconds
 
         /** Bounds the work of one run. */
         const val MAX_CLAIMANTS = 12
--- a/src/main/kotlin/umberslip/dispatch/RunningJob.kt
+++ b/src/main/kotlin/umberslip/scheduling/RunningJob.kt
@@ -1,19 +1,17 @@
-package umberslip.dispatch
+package umberslip.scheduling
 
-import umberslip.agents.Room
 import umberslip.agents.TaskState
-import umberslip.cloud.HostName
-import umberslip.records.ChunkRecord
-import umberslip.records.JobId
+import umberslip.core.JobId
+import umberslip.core.JobSpec
+import umberslip.core.MachineName
+import umberslip.core.Priority
+import umberslip.core.Resources
+import umberslip.core.Shape
+import umberslip.core.TaskId
 import umberslip.records.JobRecord
-import umberslip.records.JobSpec
-import umberslip.records.Keys
 import umberslip.records.Placement
-import umberslip.records.Shape
-import umberslip.records.TaskId
-import umberslip.records.Urgency
+import umberslip.records.ProgressRecord
 import umberslip.records.Versioned
-import umberslip.state.Version
 import java.util.BitSet
 import java.util.TreeSet
 import kotlin.time.Duration
@@ -26,20 +24,20 @@
     val job: RunningJob,
     val index: Int,
     var attempt: Long,
-    val host: HostName,
+    val machineName: MachineName,
     val zone: String,
 ) {
     val id = TaskId(job.spec.id, index)
-    val room: Room get() = job.room
+    val resources: Resources get() = job.resources
 
     /** Holds a slot for a gang that is not complete yet: neither recorded nor started. */
     var reserved = false
 
-    /** The start is in the state service, in the log or in its chunk, so it may be told to the worker. */
+    /** The start is in the key-value store, in the log or in its progress block, so it may be told to the worker. */
     var recorded = false
     var status: TaskState? = null
 
-    /** The newest report of its machine shows it. */
+    /** The newest heartbeat of its machine shows it. */
     var seen = false
     var runningSince: Duration? = null
 
@@ -47,27 +45,27 @@
     fun left(now: Duration): Duration? = runningSince?.let { job.expectedTime - (now - it) }
 
     /** It runs, saves when stopped, and began at least [settled] ago, so it can go on elsewhere at little loss. */
-    fun mayMove(
+    fun mayMigrate(
         now: Duration,
         settled: Duration,
     ): Boolean {
         val since = runningSince ?: return false
-        return windDown == null &&
+        return gracePeriod == null &&
             status == TaskState.RUNNING &&
-            job.spec.checkpointSeconds > 0 &&
+            job.spec.checkpointIntervalSeconds > 0 &&
             job.spec.shape == Shape.ARRAY &&
             now - since >= settled
     }
 
     /** Set once it shall stop; the worker then has this long to save. */
-    var windDown: Duration? = null
+    var gracePeriod: Duration? = null
 }
 
 /** An accepted job that has not ended, with all its tasks. */
 class RunningJob(
     val spec: JobSpec,
     var record: Versioned<JobRecord>,
-    val perChunk: Int,
+    val tasksPerBlock: Int,
     /** When its user first handed it in. */
     val submittedAt: Duration,
     /** The times by which its users want it done, the earliest first; at least one. */
@@ -84,7 +82,7 @@
     val held: Boolean get() = dependencyCancelled || pending.isNotEmpty()
 
     /** From when on it could run: it was handed in, or the last job that it needs was done. */
-    var cameAt: Duration = submittedAt
+    var runnableSince: Duration = submittedAt
         private set
     private var own = targets
     private var inherited = emptyList<Duration>()
@@ -98,7 +96,7 @@
     var reachable: Duration = due
 
     /** The highest of its own and of any unfinished job that needs it. */
-    var urgency: Urgency = spec.urgency
+    var priority: Priority = spec.priority
         private set
 
     /** The last job that it needs is done: what its users wait for counts from now on. */
@@ -106,7 +104,7 @@
         own: List<Duration>,
         now: Duration,
     ) {
-        cameAt = now
+        runnableSince = now
         lastPlaced = now
         waitingSince = now
         this.own = own
@@ -115,11 +113,11 @@
 
     /** For the sake of jobs that need it. */
     fun rank(
-        urgency: Urgency,
+        priority: Priority,
         inherited: List<Duration>,
         now: Duration,
     ) {
-        this.urgency = urgency
+        this.priority = priority
         this.inherited = inherited
         retarget(now)
     }
@@ -129,12 +127,12 @@
         reachable = reachableAt(now)
     }
 
-    val room = Room(spec.cpus, spec.gpus, spec.memoryGb)
+    val resources = Resources(spec.cpus, spec.gpus, spec.memoryGb)
     private val done = BitSet()
     var doneCount = 0
         private set
     val assigned = HashMap<Int, Assignment>()
-    private val chunks = arrayOfNulls<Chunk>((spec.tasks + perChunk - 1) / perChunk)
+    private val blocks = arrayOfNulls<ProgressBlock>((spec.tasks + tasksPerBlock - 1) / tasksPerBlock)
 
     /** Tasks that came back from a machine and wait again; the rest of the waiting are [fresh] and later. */
     private val returned = TreeSet<Int>()
@@ -158,11 +156,11 @@
     }
 
     /** After failures on several machines, the job's tasks wait before the next try. */
-    var notBefore: Duration = Duration.ZERO
+    var retryAfter: Duration = Duration.ZERO
     val failures = JobFailures()
 
     /** It fails on every machine so far, probably by its own mistake: its tasks are tried one at a time. */
-    var isDoubtful = false
+    var isQuarantined = false
 
     /** When a task of the job was last placed, or the job came. */
     var lastPlaced: Duration = Duration.ZERO
@@ -172,7 +170,7 @@
     /** Own observation of a task's run time, once there is one. */
     private var observedSeconds: Double? = null
 
-    /** The expected run time of a task: what was seen, else what the owner thinks. */
+    /** The expected run time of a task: what was seen, else what the leader thinks. */
     val expected: Double get() = observedSeconds ?: spec.expectedSeconds.coerceAtLeast(1.0)
 
     /** [expected] as a time; kept, since it is asked for with every task that is looked at. */
@@ -186,17 +184,17 @@
     }
 
     /** How long a gang may gather slots; doubles whenever it had to give them back. */
-    var gatherBound: Duration = Duration.ZERO
-    var gatheringSince: Duration? = null
-    var gatherAgainAt: Duration = Duration.ZERO
+    var assemblyTimeout: Duration = Duration.ZERO
+    var assemblingSince: Duration? = null
+    var nextAssemblyAt: Duration = Duration.ZERO
 
-    fun chunk(index: Int): Chunk = chunkNumber(index / perChunk)
+    fun block(index: Int): ProgressBlock = blockNumber(index / tasksPerBlock)
 
-    fun chunkNumber(number: Int): Chunk = chunks[number] ?: Chunk(this, number).also { chunks[number] = it }
+    fun blockNumber(number: Int): ProgressBlock = blocks[number] ?: ProgressBlock(this, number).also { blocks[number] = it }
 
-    fun knownChunks(): List<Chunk> = chunks.filterNotNull()
+    fun knownBlocks(): List<ProgressBlock> = blocks.filterNotNull()
 
-    fun highestAttempt(): Long = chunks.maxOfOrNull { it?.lastAttempt ?: 0L } ?: 0L
+    fun highestAttempt(): Long = blocks.maxOfOrNull { it?.lastAttempt ?: 0L } ?: 0L
 
     /** The next task to place, without taking it; null where none waits. */
     fun peek(): Int? {
@@ -221,29 +219,29 @@
 
     fun load(
         number: Int,
-        record: Versioned<ChunkRecord>,
+        record: Versioned<ProgressRecord>,
     ) {
-        val chunk = chunkNumber(number)
-        chunk.version = record.version
-        chunk.lastAttempt = record.value.lastAttempt
-        chunk.storedDone = record.value.done
-        val base = number * perChunk
+        val block = blockNumber(number)
+        block.version = record.version
+        block.lastAttempt = record.value.lastAttempt
+        block.storedDone = record.value.done
+        val base = number * tasksPerBlock
         record.value.done
             .stream()
             .forEach { setDone(base + it) }
     }
 
-    fun chunkRecord(
-        chunk: Chunk,
+    fun progressRecord(
+        block: ProgressBlock,
         seq: Long,
-    ): ChunkRecord {
-        val base = chunk.number * perChunk
-        val end = minOf(base + perChunk, spec.tasks)
+    ): ProgressRecord {
+        val base = block.number * tasksPerBlock
+        val end = minOf(base + tasksPerBlock, spec.tasks)
         val placed = ArrayList<Placement>()
         for (i in base until end) {
-            assigned[i]?.takeIf { !it.reserved }?.let { placed += Placement(i, it.attempt, it.host) }
+            assigned[i]?.takeIf { !it.reserved }?.let { placed += Placement(i, it.attempt, it.machineName) }
         }
-        return ChunkRecord(done.get(base, end), placed, chunk.lastAttempt, seq)
+        return ProgressRecord(done.get(base, end), placed, block.lastAttempt, seq)
     }
 
     /**
--- a/src/main/kotlin/umberslip/dispatch/SchedulerState.kt
+++ b/src/main/kotlin/umberslip/scheduling/SchedulerState.kt
@@ -1,91 +1,87 @@
-package umberslip.dispatch
+package umberslip.scheduling
 
 import org.slf4j.LoggerFactory
-import umberslip.agents.Cause
-import umberslip.agents.Machine
-import umberslip.agents.Order
-import umberslip.agents.Report
+import umberslip.agents.ExitCause
+import umberslip.agents.Heartbeat
 import umberslip.agents.ReportedTask
-import umberslip.agents.Room
 import umberslip.agents.TaskState
-import umberslip.cloud.Flavor
-import umberslip.cloud.HostName
-import umberslip.records.ChunkRecord
-import umberslip.records.End
-import umberslip.records.JobId
+import umberslip.agents.WorkerCommand
+import umberslip.cloud.InstanceType
+import umberslip.core.JobId
+import umberslip.core.MachineName
+import umberslip.core.Shape
+import umberslip.core.TaskId
+import umberslip.core.Term
+import umberslip.records.JobOutcome
 import umberslip.records.JobRecord
 import umberslip.records.Keys
 import umberslip.records.LogRecord
 import umberslip.records.Placement
+import umberslip.records.ProgressRecord
 import umberslip.records.RecordView
-import umberslip.records.Shape
-import umberslip.records.TaskId
-import umberslip.records.Term
 import umberslip.records.Versioned
-import umberslip.recovery.RecoveryTracker
-import umberslip.recovery.TaskFinding
 import umberslip.settings.Settings
 import umberslip.settings.Timings
-import umberslip.state.Version
+import umberslip.store.Version
 import java.time.Instant
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** What becomes of a worker's report. */
-enum class Verdict {
-    /** Its contents are proof; to be answered with the owner's term and with orders. */
-    ANSWER,
+/** What becomes of a worker's heartbeat. */
+enum class HeartbeatDisposition {
+    /** Its contents are proof; to be answered with the leader's term and with orders. */
+    ACCEPTED,
 
     /**
      * It carries an older term, so it proves nothing, not even that its machine is up: it may be a late
-     * copy. Answered with the owner's term alone, after which a live worker's next report carries it.
+     * copy. Answered with the leader's term alone, after which a live worker's next heartbeat carries it.
      */
-    TOKEN_ONLY,
+    TOKEN_BEHIND,
 
     /** Older than what is known, or of a machine that was returned: answered by no order and no lease. */
-    STALE,
+    OUT_OF_DATE,
 
-    /** The worker has seen a higher term: somebody else owns. */
-    OUTRANKED,
+    /** The worker has seen a higher term: somebody else leads. */
+    SUPERSEDED,
 }
 
 /**
- * All that the owner knows and decides: jobs, machines and what is on them. Pure state; time comes
- * in with every call, and everything that leaves the process goes through [pendingWrites] and [orders].
+ * All that the leader knows and decides: jobs, machines and what is on them. Pure state; time comes
+ * in with every call, and everything that leaves the process goes through [writeAheadLog] and [commands].
  */
 class SchedulerState(
     val settings: Settings,
     val timings: Timings,
     val term: Term,
-    ownerVersion: Version,
+    leaderVersion: Version,
     private val wallClock: () -> Instant,
-    logSlots: Int = PendingWrites.slotCount(settings.stateLimits.valueBytes),
-    val recovery: RecoveryTracker? = null,
+    logSlots: Int = WriteAheadLog.slotCount(settings.storeLimits.valueBytes),
+    private val reconciliationObserver: ReconciliationObserver? = null,
 ) {
-    private val log = LoggerFactory.getLogger("umberslip.dispatch")
-    private val perChunk = ChunkRecord.tasksPerChunk(settings.stateLimits.chunkBytes)
+    private val log = LoggerFactory.getLogger("umberslip.scheduling")
+    private val tasksPerBlock = ProgressRecord.tasksPerBlock(settings.storeLimits.blockBytes)
     val jobs = LinkedHashMap<JobId, RunningJob>()
-    val pipelines = Pipelines(jobs)
-    val machines = LinkedHashMap<HostName, Machine>()
+    val dependencyGraph = DependencyGraph(jobs)
+    val machines = LinkedHashMap<MachineName, Machine>()
 
     /** Images that some machine has. */
     private val images = HashSet<String>()
     val teams: Map<String, Dispatcher> = settings.teams.associate { it.name to Dispatcher(it, images) }
-    val pendingWrites = PendingWrites(settings.stateLimits, ownerVersion, term.value shl 32, logSlots)
+    val writeAheadLog = WriteAheadLog(settings.storeLimits, leaderVersion, term.value shl 32, logSlots)
     private val starvationGuard = StarvationGuard()
-    private val jobTargets = JobTargets(settings.objectives)
-    private val workerOrders = WorkerOrders(jobs)
+    private val jobObjectives = JobObjectives(settings.objectives)
+    private val workerCommands = WorkerCommands(jobs)
     val failures = FailureTracker(jobs)
-    private val returned = HashSet<HostName>()
+    private val returned = HashSet<MachineName>()
     private val unknownTeams = HashSet<JobId>()
-    private var flavors: Map<String, Flavor> = emptyMap()
+    private var instanceTypes: Map<String, InstanceType> = emptyMap()
 
     // ---- taking over, and what other controllers write ----
 
     /**
      * Takes the records as they stand. A machine that the records name keeps its tasks until its
-     * report carries this term, or until [silentUntil]: by then every lease that a former owner
+     * report carries this term, or until [silentUntil]: by then every lease that a former leader
      * can have renewed has run out.
      */
     fun load(
@@ -94,13 +90,13 @@
         silentUntil: Duration,
     ) {
         for ((id, job) in records.jobs()) jobChanged(id, job, now)
-        for ((id, chunks) in records.chunks()) {
+        for ((id, blocks) in records.progressRecords()) {
             val job = jobs[id]
             if (job == null) {
-                chunks.keys.forEach { pendingWrites.drop(Keys.chunk(id, it)) }
+                blocks.keys.forEach { writeAheadLog.drop(Keys.progress(id, it)) }
                 continue
             }
-            for ((number, record) in chunks) {
+            for ((number, record) in blocks) {
                 job.load(number, record)
                 for (p in record.value.placed) placed(job, p, now, silentUntil)
             }
@@ -108,12 +104,15 @@
         for ((number, record) in records.log().entries.sortedBy { it.value.value.seq }) {
             load(number, record, records, now, silentUntil)
         }
-        records.condemned?.let {
-            pendingWrites.load(it, machines.keys)
-            for (host in it.value.hosts) machines[host]?.condemnedAt = now
+        records.revokedRenewals?.let {
+            writeAheadLog.load(it, machines.keys)
+            for (machineName in it.value.machineNames) machines[machineName]?.renewalRevokedAt = now
         }
         for (job in jobs.values) changed(job)
-        recovery?.tookOver(machines.mapValues { it.value.assignments.size }.filterValues { it > 0 }, now)
+        reconciliationObserver?.recordsLoaded(
+            machines.mapValues { it.value.assignments.size }.filterValues { it > 0 },
+            now,
+        )
     }
 
     private fun load(
@@ -123,31 +122,31 @@
         now: Duration,
         silentUntil: Duration,
     ) {
-        val named = LinkedHashSet<Chunk>()
+        val named = LinkedHashSet<ProgressBlock>()
         for ((id, row) in record.value.rows) {
             val job = jobs[id] ?: continue
-            val known = records.chunks()[id]
+            val known = records.progressRecords()[id]
 
-            fun isIn(chunk: Chunk) = (known?.get(chunk.number)?.value?.seq ?: 0L) >= record.value.seq
+            fun isIn(block: ProgressBlock) = (known?.get(block.number)?.value?.seq ?: 0L) >= record.value.seq
             for (p in row.starts) {
-                val chunk = job.chunk(p.index)
-                if (isIn(chunk)) continue
+                val block = job.block(p.index)
+                if (isIn(block)) continue
                 // Later entries win: a task goes elsewhere only after it was certainly gone.
                 job.assigned[p.index]?.let(::detach)
                 if (!job.isDone(p.index)) placed(job, p, now, silentUntil)
-                chunk.lastAttempt = maxOf(chunk.lastAttempt, p.attempt)
-                chunk.startLogged(p)
-                named += chunk
+                block.lastAttempt = maxOf(block.lastAttempt, p.attempt)
+                block.startLogged(p)
+                named += block
             }
             for (e in row.ends) {
-                val chunk = job.chunk(e.index)
-                if (isIn(chunk)) continue
+                val block = job.block(e.index)
+                if (isIn(block)) continue
                 if (e.done) job.setDone(e.index)
                 job.assigned[e.index]?.let { if (e.done || it.attempt == e.attempt) detach(it) }
-                named += chunk
+                named += block
             }
         }
-        pendingWrites.load(number, record.version, named, now)
+        writeAheadLog.load(number, record.version, named, now)
     }
 
     private fun placed(
@@ -157,13 +156,13 @@
         silentUntil: Duration,
     ) {
         val machine =
-            machines.getOrPut(p.host) {
-                Machine(p.host, "", "", false).also {
-                    it.leaseEnd = silentUntil
+            machines.getOrPut(p.machineName) {
+                Machine(p.machineName, "", "", false).also {
+                    it.leaseExpiry = silentUntil
                     it.loadedAt = now
                 }
             }
-        val a = Assignment(job, p.index, p.attempt, p.host, machine.zone)
+        val a = Assignment(job, p.index, p.attempt, p.machineName, machine.zone)
         a.recorded = true
         attach(a, machine)
     }
@@ -179,7 +178,7 @@
             known.record = record
             if (known.cancelled) {
                 withdrawUnrecorded(known)
-                pipelines.cancelDependents(known).forEach(::changed)
+                dependencyGraph.cancelDependents(known).forEach(::changed)
             }
             changed(known)
             return
@@ -197,35 +196,35 @@
             RunningJob(
                 spec,
                 record,
-                perChunk,
+                tasksPerBlock,
                 now - age,
-                jobTargets.targets(spec, now - age, now - age),
-                jobTargets.deadlines(spec, now - age),
+                jobObjectives.targets(spec, now - age, now - age),
+                jobObjectives.deadlines(spec, now - age),
             )
-        job.gatherBound = settings.workers.gangWait
+        job.assemblyTimeout = settings.workers.gangWait
         job.lastPlaced = now
         job.waitingSince = now
         jobs[id] = job
-        pipelines.came(job).forEach(::changed)
+        dependencyGraph.came(job).forEach(::changed)
         changed(job)
     }
 
     /** How a job that others need ended, as its record says. */
     fun ended(
         id: JobId,
-        end: End,
+        end: JobOutcome,
         now: Duration,
     ) {
-        for (job in pipelines.ended(id, end)) {
-            if (!job.held) job.ready(jobTargets.targets(job.spec, job.submittedAt, now), now)
+        for (job in dependencyGraph.ended(id, end)) {
+            if (!job.held) job.ready(jobObjectives.targets(job.spec, job.submittedAt, now), now)
             changed(job)
         }
     }
 
     /** What jobs take over from those that need them may have changed. */
-    fun rerank(now: Duration) {
-        for ((job, rank) in pipelines.rerank()) {
-            teams[job.spec.team]?.reposition(job) { job.rank(rank.urgency, rank.deadlines, now) }
+    fun inheritPriorities(now: Duration) {
+        for ((job, rank) in dependencyGraph.inheritPriorities()) {
+            teams[job.spec.team]?.reinsert(job) { job.rank(rank.priority, rank.deadlines, now) }
         }
     }
 
@@ -234,51 +233,51 @@
         if (jobs[job.spec.id] !== job) return
         teams[job.spec.team]?.refresh(job)
         starvationGuard.refresh(job)
-        pendingWrites.over(job)
+        writeAheadLog.over(job)
     }
 
-    fun relayed(
-        hosts: Set<HostName>,
+    fun renewedByFollower(
+        machineNames: Set<MachineName>,
         now: Duration,
     ) {
-        for (host in hosts) machines[host]?.relayedAt = now
+        for (machineName in machineNames) machines[machineName]?.renewedByFollowerAt = now
     }
 
-    fun jobGone(id: JobId) {
+    fun jobRemoved(id: JobId) {
         jobs[id]?.let { remove(it) }
     }
 
-    fun setFlavors(all: List<Flavor>) {
-        flavors = all.associateBy { it.label }
-        for (machine in machines.values) machine.flavor = flavors[machine.type]
+    fun setInstanceTypes(all: List<InstanceType>) {
+        instanceTypes = all.associateBy { it.label }
+        for (machine in machines.values) machine.instanceType = instanceTypes[machine.type]
     }
 
-    // ---- reports ----
+    // ---- heartbeats ----
 
-    fun report(
-        report: Report,
+    fun heartbeat(
+        heartbeat: Heartbeat,
         now: Duration,
-    ): Verdict {
-        if (report.host in returned) return Verdict.STALE
-        if (report.token > term) return Verdict.OUTRANKED
-        val known = machines[report.host]
-        val last = known?.mark
-        if (last != null && report.mark <= last) return Verdict.STALE
-        if (report.token < term) {
-            if (known != null) describe(known, report)
-            known?.proven = false
-            return Verdict.TOKEN_ONLY
+    ): HeartbeatDisposition {
+        if (heartbeat.machineName in returned) return HeartbeatDisposition.OUT_OF_DATE
+        if (heartbeat.fencingToken > term) return HeartbeatDisposition.SUPERSEDED
+        val known = machines[heartbeat.machineName]
+        val last = known?.heartbeatVersion
+        if (last != null && heartbeat.heartbeatVersion <= last) return HeartbeatDisposition.OUT_OF_DATE
+        if (heartbeat.fencingToken < term) {
+            if (known != null) describe(known, heartbeat)
+            known?.isReconciled = false
+            return HeartbeatDisposition.TOKEN_BEHIND
         }
         val machine =
-            known ?: Machine(report.host, report.type, report.zone, report.spot).also { machines[report.host] = it }
+            known ?: Machine(heartbeat.machineName, heartbeat.type, heartbeat.zone, heartbeat.spot).also { machines[heartbeat.machineName] = it }
         // The worker stays with a controller only if its answer arrived, and knows this term only from
-        // an answer: so either shows that it receives answers. Reports alone do not: answers to it may be lost,
-        // and copies of old reports may come late.
-        machine.hearsAnswers = !machine.proven || last == null || report.mark.follows(last)
-        val newSession = machine.proven && report.mark.session != last?.session
-        describe(machine, report)
-        if (machine.firstHeard == null) {
-            machine.firstHeard = now
+        // an answer: so either shows that it receives answers. Heartbeats alone do not: answers to it may be lost,
+        // and copies of old heartbeats may come late.
+        machine.receivesResponses = !machine.isReconciled || last == null || heartbeat.heartbeatVersion.follows(last)
+        val newSession = machine.isReconciled && heartbeat.heartbeatVersion.session != last?.session
+        describe(machine, heartbeat)
+        if (machine.firstContact == null) {
+            machine.firstContact = now
             log.info(
                 "machine {} ({} in {}{}) reports",
                 machine.name.value,
@@ -287,36 +286,36 @@
                 if (machine.spot) ", spot" else "",
             )
         }
-        if (machine.hearsAnswers) {
-            machine.lastHeard = now
-            pendingWrites.toCondemn -= machine.name
-            machine.condemnedAt = null
+        if (machine.receivesResponses) {
+            machine.lastContact = now
+            writeAheadLog.pendingRevocations -= machine.name
+            machine.renewalRevokedAt = null
         }
-        val warning = report.warningSeconds
+        val warning = heartbeat.warningSeconds
         if (warning == null) {
-            machine.takenAt = null
-        } else if (machine.takenAt == null) {
-            machine.takenAt = now + warning.seconds
+            machine.interruptionAt = null
+        } else if (machine.interruptionAt == null) {
+            machine.interruptionAt = now + warning.seconds
             log.info("machine {} will be taken back in {} s", machine.name.value, warning)
         }
-        if (!machine.proven) recovery?.heard(machine.name, TaskFinding.of(machine, report.tasks, jobs).values, now)
-        machine.proven = true
-        reconcile(machine, report, newSession, now)
-        return Verdict.ANSWER
+        if (!machine.isReconciled) reconciliationObserver?.machineReconciled(machine, heartbeat.tasks, jobs, now)
+        machine.isReconciled = true
+        reconcile(machine, heartbeat, newSession, now)
+        return HeartbeatDisposition.ACCEPTED
     }
 
     private fun describe(
         machine: Machine,
-        report: Report,
+        heartbeat: Heartbeat,
     ) {
-        if (machine.zone != report.zone) moveToZone(machine, report.zone)
-        machine.type = report.type
-        machine.spot = report.spot
-        if (machine.flavor?.label != report.type) machine.flavor = flavors[report.type]
-        machine.mark = report.mark
+        if (machine.zone != heartbeat.zone) moveToZone(machine, heartbeat.zone)
+        machine.type = heartbeat.type
+        machine.spot = heartbeat.spot
+        if (machine.instanceType?.label != heartbeat.type) machine.instanceType = instanceTypes[heartbeat.type]
+        machine.heartbeatVersion = heartbeat.heartbeatVersion
     }
 
-    /** Records do not say in which zone a machine is; the zones of its tasks are set by its first report. */
+    /** Records do not say in which zone a machine is; the zones of its tasks are set by its first heartbeat. */
     private fun moveToZone(
         machine: Machine,
         zone: String,
@@ -324,10 +323,10 @@
         val all = machine.assignments.values.toList()
         machine.zone = zone
         for (old in all) {
-            val a = Assignment(old.job, old.index, old.attempt, old.host, zone)
+            val a = Assignment(old.job, old.index, old.attempt, old.machineName, zone)
             a.recorded = old.recorded
             a.reserved = old.reserved
-            a.windDown = old.windDown
+            a.gracePeriod = old.gracePeriod
             old.job.unplace(old)
             machine.drop(old)
             old.job.place(a)
@@ -337,13 +336,13 @@
 
     private fun reconcile(
         machine: Machine,
-        report: Report,
+        heartbeat: Heartbeat,
         newSession: Boolean,
         now: Duration,
     ) {
-        val tasks = HashMap<TaskId, ReportedTask>(report.tasks.size * 2)
+        val tasks = HashMap<TaskId, ReportedTask>(heartbeat.tasks.size * 2)
         for (a in machine.assignments.values) a.seen = false
-        for (piece in report.tasks) {
+        for (piece in heartbeat.tasks) {
             tasks[piece.task] = piece
             val a = machine.assignments[piece.task]
             if (a == null || a.attempt != piece.attempt || a.reserved) continue
@@ -353,7 +352,7 @@
                 a.runningSince = now
                 machine.ran(a.job.spec.image)
             }
-            if (piece.status == TaskState.ENDED) ended(machine, a, piece.cause ?: Cause.ERROR, now)
+            if (piece.status == TaskState.EXITED) ended(machine, a, piece.cause ?: ExitCause.ERROR, now)
         }
         machine.reported = tasks
         if (machine.awaitingClear.isNotEmpty()) {
@@ -370,62 +369,62 @@
             a.runningSince = null
             if (
                 newSession ||
-                a.windDown != null ||
+                a.gracePeriod != null ||
                 a.job.cancelled ||
-                !(machine.usable || machine.staysFor(now) > Duration.ZERO)
+                !(machine.usable || machine.remainingDrainTime(now) > Duration.ZERO)
             ) {
                 release(a, now)
             }
         }
-        if (newSession) log.info("machine {} began session {}", machine.name.value, report.mark.session)
+        if (newSession) log.info("machine {} began session {}", machine.name.value, heartbeat.heartbeatVersion.session)
     }
 
     private fun ended(
         machine: Machine,
         a: Assignment,
-        cause: Cause,
+        cause: ExitCause,
         now: Duration,
     ) {
         val job = a.job
-        machine.awaitingClear[a.id] = release(a, now, done = cause == Cause.DONE)
+        machine.awaitingClear[a.id] = release(a, now, done = cause == ExitCause.DONE)
         when (cause) {
-            Cause.DONE -> {
+            ExitCause.DONE -> {
                 failures.succeeded(machine, job)
                 a.runningSince?.let { job.observed(now - it) }
             }
-            Cause.ERROR -> failures.failed(machine, job, a.runningSince?.let { now - it } ?: Duration.ZERO, now)
-            Cause.FULL, Cause.BUSY -> machine.noRoomUntil = now + 2.seconds
-            Cause.UNKNOWN -> job.notBefore = now + 2.seconds
-            Cause.HALTED, Cause.PEERS, Cause.ALONE -> Unit
+            ExitCause.ERROR -> failures.failed(machine, job, a.runningSince?.let { now - it } ?: Duration.ZERO, now)
+            ExitCause.MACHINE_FULL, ExitCause.ALREADY_PRESENT -> machine.fullUntil = now + 2.seconds
+            ExitCause.UNKNOWN -> job.retryAfter = now + 2.seconds
+            ExitCause.STOPPED, ExitCause.GANG_MEMBER_LOST, ExitCause.GANG_INCOMPLETE -> Unit
         }
     }
 
-    /** Bounds the leases that this owner's answer renews. */
+    /** Bounds the leases that this leader's answer renews. */
     fun answered(
-        name: HostName,
+        name: MachineName,
         now: Duration,
     ) {
         machines[name]?.let {
-            it.leaseEnd = maxOf(it.leaseEnd, now + timings.stretched(timings.lease) + timings.margin)
+            it.leaseExpiry = maxOf(it.leaseExpiry, now + timings.stretched(timings.lease) + timings.margin)
         }
     }
 
     // ---- placing ----
 
     /** Deals a machine's free room; false if the time ran out and more may be placed. */
-    fun deal(
+    fun dispatch(
         machine: Machine,
         now: Duration,
         outOfTime: () -> Boolean,
     ): Boolean {
-        if (!machine.mayStay || machine.noRoomUntil > now) return true
-        val within = if (machine.usable) Duration.INFINITE else machine.staysFor(now)
+        if (!machine.acceptsWork || machine.fullUntil > now) return true
+        val within = if (machine.usable) Duration.INFINITE else machine.remainingDrainTime(now)
         var free = machine.free() ?: return true
         if (free.isNone) return true
         // Something is on the machine that the records do not know: its room is not known either.
         if (
             machine.reported.values.any {
-                it.status != TaskState.ENDED && machine.assignments[it.task]?.attempt != it.attempt
+                it.status != TaskState.EXITED && machine.assignments[it.task]?.attempt != it.attempt
             }
         ) {
             return true
@@ -437,17 +436,17 @@
                 starvationGuard.next(now) { job ->
                     teams[job.spec.team]?.mayPlace(job, machine, free, now, within) == true
                 }
-            val job = longestWaiting ?: candidates.getValue(Turns.next(candidates) ?: return true)
+            val job = longestWaiting ?: candidates.getValue(WeightedRoundRobin.next(candidates) ?: return true)
             val index = job.peek()
             if (index != null) {
                 place(job, index, machine, now)
-                starvationGuard.dealt(job, job === longestWaiting, now)
+                starvationGuard.dispatched(job, job === longestWaiting, now)
                 free = machine.free() ?: return true
             }
             if (outOfTime()) return false
             // Only the team that took its turn can have a new first choice; the others' may no longer fit.
             for (other in candidates.keys.toList()) {
-                if (other.team.name != job.spec.team && free.covers(candidates.getValue(other).room)) continue
+                if (other.team.name != job.spec.team && free.covers(candidates.getValue(other).resources)) continue
                 val next = other.pick(machine, free, now, within)
                 if (next == null) candidates.remove(other) else candidates[other] = next
             }
@@ -462,11 +461,11 @@
         now: Duration,
     ) {
         job.lastPlaced = now
-        if (machine.keptFor === job) machine.keepFor(null, now)
+        if (machine.reservedFor === job) machine.reserveFor(null, now)
         val a = Assignment(job, index, 0, machine.name, machine.zone)
         if (job.spec.shape == Shape.GANG) {
             a.reserved = true
-            if (job.gatheringSince == null) job.gatheringSince = now
+            if (job.assemblingSince == null) job.assemblingSince = now
             attach(a, machine)
             if (job.assigned.size == job.spec.tasks - job.doneCount) startGang(job, now)
         } else {
@@ -481,8 +480,8 @@
         now: Duration,
     ) {
         a.attempt = attempt
-        a.job.chunk(a.index).lastAttempt = attempt
-        pendingWrites.started(a, now)
+        a.job.block(a.index).lastAttempt = attempt
+        writeAheadLog.started(a, now)
     }
 
     private fun startGang(
@@ -494,8 +493,8 @@
             a.reserved = false
             number(a, attempt, now)
         }
-        job.gatheringSince = null
-        job.gatherBound = settings.workers.gangWait
+        job.assemblingSince = null
+        job.assemblyTimeout = settings.workers.gangWait
     }
 
     private fun attach(
@@ -506,7 +505,7 @@
         machine.add(a)
         machine.images.add(a.job.spec.image)
         images.add(a.job.spec.image)
-        teams[a.job.spec.team]?.take(a.room)
+        teams[a.job.spec.team]?.take(a.resources)
         changed(a.job)
     }
 
@@ -515,17 +514,17 @@
         a: Assignment,
         now: Duration,
         done: Boolean = false,
-    ): TaskEnd {
+    ): TaskExit {
         // Before it is detached: what is not done then waits to be placed again.
         if (done) a.job.setDone(a.index)
         detach(a)
-        return pendingWrites.ended(a, done, now)
+        return writeAheadLog.ended(a, done, now)
     }
 
     private fun detach(a: Assignment) {
-        machines[a.host]?.drop(a)
+        machines[a.machineName]?.drop(a)
         a.job.unplace(a)
-        teams[a.job.spec.team]?.give(a.room)
+        teams[a.job.spec.team]?.give(a.resources)
         changed(a.job)
     }
 
@@ -533,25 +532,25 @@
         job.assigned.values
             .filter { it.reserved }
             .forEach(::detach)
-        job.gatheringSince = null
+        job.assemblingSince = null
     }
 
     /** Nobody was told of these. */
     private fun withdrawUnrecorded(job: RunningJob) {
         withdrawReserved(job)
         job.assigned.values.filter { !it.recorded }.forEach {
-            pendingWrites.withdrawn(it)
+            writeAheadLog.withdrawn(it)
             detach(it)
         }
     }
 
     // ---- what the worker is told ----
 
-    /** Orders for the newest report of a machine. */
-    fun orders(
+    /** Orders for the newest heartbeat of a machine. */
+    fun commands(
         machine: Machine,
         mayStart: Boolean,
-    ): List<Order> = workerOrders.of(machine, mayStart)
+    ): List<WorkerCommand> = workerCommands.of(machine, mayStart)
 
     fun hasUnrecorded(machine: Machine): Boolean = machine.assignments.values.any { !it.recorded && !it.reserved }
 
@@ -563,42 +562,42 @@
         now: Duration,
     ) {
         for (a in machine.assignments.values.toList()) if (a.reserved) detach(a) else release(a, now)
-        recovery?.gone(machine.name, now)
+        reconciliationObserver?.machineLost(machine.name, now)
         machine.reported = emptyMap()
         machine.awaitingClear.clear()
-        machine.proven = false
+        machine.isReconciled = false
     }
 
     /** Asks a task to stop; all tasks of a gang are asked together, so that it can save as one. */
     fun stop(
         a: Assignment,
-        windDown: Duration,
+        gracePeriod: Duration,
     ) {
         val all = if (a.job.spec.shape == Shape.GANG) a.job.assigned.values else listOf(a)
-        all.forEach { if (it.windDown == null) it.windDown = windDown }
+        all.forEach { if (it.gracePeriod == null) it.gracePeriod = gracePeriod }
     }
 
     /** Gangs that hold slots and are not complete. */
-    fun gathering(): List<RunningJob> =
+    fun assemblingGangs(): List<RunningJob> =
         teams.values.flatMap { team ->
-            team.waiting.filter { it.gatheringSince != null }
+            team.waiting.filter { it.assemblingSince != null }
         }
 
-    fun gatherInTime(
+    fun enforceAssemblyTimeout(
         job: RunningJob,
         now: Duration,
     ) {
-        val since = job.gatheringSince ?: return
-        if (now - since < job.gatherBound) return
+        val since = job.assemblingSince ?: return
+        if (now - since < job.assemblyTimeout) return
         withdrawReserved(job)
-        job.gatherAgainAt = now + job.gatherBound
-        job.gatherBound *= 2
-        log.info("gang {} gave its slots back; the next try may take {}", job.spec.id.value, job.gatherBound)
+        job.nextAssemblyAt = now + job.assemblyTimeout
+        job.assemblyTimeout *= 2
+        log.info("gang {} gave its slots back; the next try may take {}", job.spec.id.value, job.assemblyTimeout)
     }
 
     /** A release was answered with 200: the machines and all on them are gone. */
     fun released(
-        names: List<HostName>,
+        names: List<MachineName>,
         now: Duration,
     ) {
         for (name in names) {
@@ -614,14 +613,14 @@
 
     /** Answered with the machines that got starts recorded. */
     fun applied(
-        batch: Batch,
+        batch: WriteBatch,
         version: Version,
         now: Duration,
-    ): Set<HostName> {
-        val touched = pendingWrites.applied(batch, version)
+    ): Set<MachineName> {
+        val touched = writeAheadLog.applied(batch, version)
         // Only what the record names without a break since then is out of others' reach.
-        batch.condemned?.forEach { host ->
-            machines[host]?.let { if (host in pendingWrites.toCondemn && it.condemnedAt == null) it.condemnedAt = now }
+        batch.revokedRenewals?.forEach { machineName ->
+            machines[machineName]?.let { if (machineName in writeAheadLog.pendingRevocations && it.renewalRevokedAt == null) it.renewalRevokedAt = now }
         }
         for ((job, end) in batch.over) {
             remove(job)
@@ -630,16 +629,16 @@
         return touched
     }
 
-    /** What the state service shows of a key whose guard failed, or whose write's fate is unknown. */
-    fun settle(
+    /** What the key-value store shows of a key whose precondition failed, or whose write's fate is unknown. */
+    fun resolve(
         key: String,
         version: Version?,
         data: Any?,
     ) {
-        val chunk = Keys.asChunk(key)
+        val block = Keys.asProgress(key)
         val job = Keys.asJob(key)
-        if (chunk != null) {
-            jobs[chunk.first]?.chunkNumber(chunk.second)?.version = version ?: Version.NONE
+        if (block != null) {
+            jobs[block.first]?.blockNumber(block.second)?.version = version ?: Version.NONE
         } else if (job != null && version == null) {
             jobs[job]?.let(::remove)
         } else if (job != null && version != null && data != null) {
@@ -648,7 +647,7 @@
                 jobChanged(job, Versioned(JobRecord.parse(data), version), Duration.ZERO)
             }
         } else {
-            pendingWrites.settle(key, version)
+            writeAheadLog.resolve(key, version)
         }
     }
 
@@ -659,7 +658,7 @@
             .forEach(::detach)
         teams[job.spec.team]?.remove(job)
         starvationGuard.remove(job)
-        pendingWrites.remove(job)
-        pipelines.gone(job)
+        writeAheadLog.remove(job)
+        dependencyGraph.gone(job)
     }
 }
--- a/src/main/kotlin/umberslip/dispatch/StarvationGuard.kt
+++ b/src/main/kotlin/umberslip/scheduling/StarvationGuard.kt
@@ -1,19 +1,19 @@
-package umberslip.dispatch
+package umberslip.scheduling
 
 import java.util.TreeSet
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Gives a share of the processors dealt to the jobs that wait longest, whatever their urgency and team, and the longer
- * they wait the larger it is. Under a lasting overload the order of urgency alone would leave some of them waiting for
- * ever; so every job is reached in bounded time. While nobody has waited long, urgency decides alone. Pure: time is an
+ * Gives a share of the processors dispatched to the jobs that wait longest, whatever their priority and team, and the longer
+ * they wait the larger it is. Under a lasting overload the order of priority alone would leave some of them waiting for
+ * ever; so every job is reached in bounded time. While nobody has waited long, priority decides alone. Pure: time is an
  * input.
  */
 class StarvationGuard {
-    private val queue = TreeSet(compareBy<RunningJob>({ it.cameAt }, { it.spec.id.value }))
+    private val queue = TreeSet(compareBy<RunningJob>({ it.runnableSince }, { it.spec.id.value }))
 
-    /** Processors that the starving jobs may still be dealt out of turn. */
+    /** Processors that the starving jobs may still be dispatched out of turn. */
     private var credit = 0.0
 
     fun refresh(job: RunningJob) {
@@ -34,24 +34,24 @@
         if (credit <= 0) return null
         return queue
             .asSequence()
-            .takeWhile { now - it.cameAt >= LONG }
-            .firstOrNull { !it.isDoubtful && may(it) }
+            .takeWhile { now - it.runnableSince >= LONG }
+            .firstOrNull { !it.isQuarantined && may(it) }
     }
 
-    /** A task was placed; [turn] says that it was placed as the longest waiting one, not by its urgency. */
-    fun dealt(
+    /** A task was placed; [turn] says that it was placed as the longest waiting one, not by its priority. */
+    fun dispatched(
         job: RunningJob,
         turn: Boolean,
         now: Duration,
     ) {
-        val cost = job.room.cpus
-        val first = queue.firstOrNull { !it.isDoubtful }
-        val waited = if (first == null) Duration.ZERO else now - first.cameAt
+        val cost = job.resources.cpus
+        val first = queue.firstOrNull { !it.isQuarantined }
+        val waited = if (first == null) Duration.ZERO else now - first.runnableSince
         val share = share(waited)
         credit = if (share <= 0) 0.0 else (credit + cost * share - if (turn) cost else 0.0).coerceIn(-BOUND, BOUND)
     }
 
-    /** What of all dealing goes to the longest waiting, by how long the first of them has waited. */
+    /** What of all dispatching goes to the longest waiting, by how long the first of them has waited. */
     private fun share(waited: Duration): Double =
         if (waited < LONG) {
             0.0
--- a/src/main/kotlin/umberslip/dispatch/Turns.kt
+++ b/src/main/kotlin/umberslip/scheduling/WeightedRoundRobin.kt
@@ -1,15 +1,15 @@
-package umberslip.dispatch
+package umberslip.scheduling
 
 /**
- * Turns among teams: smooth weighted round-robin, by the processors dealt. Teams below their
- * guarantee go first; beyond the guarantees, only the teams with the most urgent work take turns.
+ * Turns among teams: smooth weighted round-robin, by the processors dispatched. Teams below their
+ * guarantee go first; beyond the guarantees, only the teams with the highest priority work take turns.
  */
-object Turns {
+object WeightedRoundRobin {
     fun next(candidates: Map<Dispatcher, RunningJob>): Dispatcher? {
         if (candidates.isEmpty()) return null
-        val owed = candidates.filter { (team, job) -> team.withinGuarantee(job.room) }.keys
-        val urgent = candidates.values.minOf { it.urgency }
-        val among = owed.ifEmpty { candidates.filter { (_, job) -> job.urgency == urgent }.keys }
+        val owed = candidates.filter { (team, job) -> team.withinGuarantee(job.resources) }.keys
+        val urgent = candidates.values.minOf { it.priority }
+        val among = owed.ifEmpty { candidates.filter { (_, job) -> job.priority == urgent }.keys }
         val chosen =
             among.maxWith(
                 compareBy<Dispatcher> {
@@ -27,7 +27,7 @@
     private fun cost(
         candidates: Map<Dispatcher, RunningJob>,
         team: Dispatcher,
-    ): Double = candidates[team]?.room?.cpus?.coerceAtLeast(LEAST_CPUS) ?: 1.0
+    ): Double = candidates[team]?.resources?.cpus?.coerceAtLeast(LEAST_CPUS) ?: 1.0
 
     /** A task that takes no processors still takes a turn. */
     private const val LEAST_CPUS = 0.1
--- a/src/main/kotlin/umberslip/dispatch/PendingWrites.kt
+++ b/src/main/kotlin/umberslip/scheduling/WriteAheadLog.kt
@@ -1,30 +1,30 @@
-package umberslip.dispatch
-
-import umberslip.cloud.HostName
-import umberslip.records.End
-import umberslip.records.EndRecord
-import umberslip.records.Ended
-import umberslip.records.HostsRecord
-import umberslip.records.JobId
+package umberslip.scheduling
+
+import umberslip.core.JobId
+import umberslip.core.MachineName
+import umberslip.records.JobOutcome
 import umberslip.records.Keys
 import umberslip.records.LogRecord
 import umberslip.records.LogRow
+import umberslip.records.LoggedExit
+import umberslip.records.MachineSetRecord
+import umberslip.records.OutcomeRecord
 import umberslip.records.Placement
 import umberslip.records.Versioned
-import umberslip.settings.StateSettings
-import umberslip.state.Guard
-import umberslip.state.Version
-import umberslip.state.Write
+import umberslip.settings.StoreSettings
+import umberslip.store.Precondition
+import umberslip.store.Version
+import umberslip.store.Write
 import java.util.BitSet
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
 /** A run of a job's tasks whose progress is one record. */
-class Chunk(
+class ProgressBlock(
     val job: RunningJob,
     val number: Int,
 ) {
-    val key = Keys.chunk(job.spec.id, number)
+    val key = Keys.progress(job.spec.id, number)
     var version = Version.NONE
     var edits = 0L
     var written = 0L
@@ -37,7 +37,7 @@
     var lastLogged: Placement? = null
         private set
 
-    /** The tasks that the chunk's own record shows as done, counted from its first. */
+    /** The tasks that the progress record shows as done, counted from its first. */
     var storedDone = BitSet()
 
     fun startLogged(placement: Placement) {
@@ -52,32 +52,32 @@
 }
 
 /** A task that ended on its machine, or is certainly not there any more; to be recorded. */
-class TaskEnd(
+class TaskExit(
     val job: RunningJob,
     val index: Int,
     val attempt: Long,
     val done: Boolean,
-    private val chunk: Chunk,
+    private val block: ProgressBlock,
     private val edits: Long,
     val since: Duration,
 ) {
     var logged = false
 
-    /** In the log, or in its chunk's record: the worker need not keep it any longer. */
-    val recorded: Boolean get() = logged || chunk.written >= edits
+    /** In the log, or in its progress block's record: the worker need not keep it any longer. */
+    val recorded: Boolean get() = logged || block.written >= edits
 }
 
-/** A place in the log; it is free again once every chunk that it names is written. */
+/** A place in the log; it is free again once every progress block that it names is written. */
 private class LogSlot(
     val number: Int,
 ) {
     val key = Keys.log(number)
     var version = Version.NONE
-    private val open = ArrayList<Pair<Chunk, Long>>()
+    private val open = ArrayList<Pair<ProgressBlock, Long>>()
 
-    fun names(chunks: List<Pair<Chunk, Long>>) {
+    fun names(blocks: List<Pair<ProgressBlock, Long>>) {
         open.clear()
-        open += chunks
+        open += blocks
     }
 
     /**
@@ -85,52 +85,52 @@
      */
     val free: Boolean
         get() {
-            while (open.isNotEmpty() && open.last().let { (chunk, edits) -> chunk.isStored(edits) }) {
+            while (open.isNotEmpty() && open.last().let { (block, edits) -> block.isStored(edits) }) {
                 open.removeAt(open.lastIndex)
             }
             return open.isEmpty()
         }
 
-    /** The chunks for whose sake the entry is kept. */
-    val keptFor: List<Chunk> get() = open.filter { (chunk, edits) -> !chunk.isStored(edits) }.map { it.first }
+    /** The progress blocks for whose sake the entry is kept. */
+    val reservedFor: List<ProgressBlock> get() = open.filter { (block, edits) -> !block.isStored(edits) }.map { it.first }
 }
 
-/** A chunk's own record as it is written: up to which edit, and with which tasks as done. */
-class ChunkWrite(
-    val chunk: Chunk,
+/** A progress record as it is written: up to which edit, and with which tasks as done. */
+class ProgressWrite(
+    val block: ProgressBlock,
     val edits: Long,
     val done: BitSet,
 )
 
 /** Writes of one transaction, and what they stand for. */
-class Batch(
-    val guards: List<Guard>,
+class WriteBatch(
+    val preconditions: List<Precondition>,
     val writes: List<Write>,
-    val chunks: List<ChunkWrite>,
+    val blocks: List<ProgressWrite>,
     val starts: List<Assignment>,
-    val ends: List<TaskEnd>,
-    val over: List<Pair<RunningJob, End>>,
+    val ends: List<TaskExit>,
+    val over: List<Pair<RunningJob, JobOutcome>>,
     val obsoleteKeys: List<String>,
-    val logged: List<Pair<Int, List<Pair<Chunk, Long>>>>,
-    /** Chunks that the batch copies in the log, each with the edit up to which it does so. */
-    val copies: List<Pair<Chunk, Long>>,
-    val condemned: Set<HostName>?,
+    val logged: List<Pair<Int, List<Pair<ProgressBlock, Long>>>>,
+    /** Progress blocks that the batch copies in the log, each with the edit up to which it does so. */
+    val copies: List<Pair<ProgressBlock, Long>>,
+    val revokedRenewals: Set<MachineName>?,
 )
 
 /**
- * What the owner has still to write, and under which versions. Starts and ends of tasks go into a log
+ * What the leader has still to write, and under which versions. Starts and ends of tasks go into a log
  * first, many in one value; the records of the jobs' progress follow at leisure, and for a job that
  * ends before that they are never written. So the writes do not grow with the number of tasks. Pure.
  */
-class PendingWrites(
-    private val limits: StateSettings,
-    private var ownerVersion: Version,
+class WriteAheadLog(
+    private val limits: StoreSettings,
+    private var leaderVersion: Version,
     firstSeq: Long,
     slotCount: Int = slotCount(limits.valueBytes),
 ) {
     private val slots = List(slotCount, ::LogSlot)
 
-    /** Of what the limits allow, how much is used; less once the state service has rejected a batch for its size. */
+    /** Of what the limits allow, how much is used; less once the key-value store has rejected a batch for its size. */
     private var share = 1.0
 
     /** Rises with every logged entry, across terms too. */
@@ -140,28 +140,28 @@
     private val starts = LinkedHashSet<Assignment>()
 
     /** Ended and not recorded yet, in the order of ending. */
-    private val ends = LinkedHashSet<TaskEnd>()
+    private val ends = LinkedHashSet<TaskExit>()
 
     /** Progress that is not in its own record yet, the oldest change first. */
-    private val dirty = LinkedHashSet<Chunk>()
+    private val dirty = LinkedHashSet<ProgressBlock>()
 
     /** Jobs that are over but for the writing of it. */
     private val over = LinkedHashSet<RunningJob>()
     private val obsoleteKeys = ArrayDeque<String>()
 
     /** Machines that the record condemns, and those that it should. */
-    private var condemned: Set<HostName> = emptySet()
-    private var condemnedVersion = Version.NONE
+    private var revokedRenewals: Set<MachineName> = emptySet()
+    private var revokedRenewalsVersion = Version.NONE
 
     /**
      * In the order in which they came, since only the first so many fit into the record: what is in it
      * stays until it is taken from here. What was left out for a later one would be in others' reach again.
      */
-    val toCondemn = LinkedHashSet<HostName>()
+    val pendingRevocations = LinkedHashSet<MachineName>()
 
-    /** The owner's record has a new version: writes under the former one come through no more. */
+    /** The leader's record has a new version: writes under the former one come through no more. */
     fun fenced(version: Version) {
-        ownerVersion = version
+        leaderVersion = version
     }
 
     fun started(
@@ -169,7 +169,7 @@
         now: Duration,
     ) {
         starts += a
-        touch(a.job.chunk(a.index), now)
+        touch(a.job.block(a.index), now)
     }
 
     /** Not recorded, and not to be any more. */
@@ -182,10 +182,10 @@
         a: Assignment,
         done: Boolean,
         now: Duration,
-    ): TaskEnd {
-        val chunk = a.job.chunk(a.index)
-        touch(chunk, now)
-        val ending = TaskEnd(a.job, a.index, a.attempt, done, chunk, chunk.edits, now)
+    ): TaskExit {
+        val block = a.job.block(a.index)
+        touch(block, now)
+        val ending = TaskExit(a.job, a.index, a.attempt, done, block, block.edits, now)
         if (!starts.remove(a) || done) ends += ending
         over(a.job)
         return ending
@@ -200,10 +200,10 @@
         starts.removeAll { it.job === job }
         ends.removeAll { it.job === job }
         over -= job
-        for (chunk in job.knownChunks()) {
-            chunk.written = Long.MAX_VALUE
-            dirty -= chunk
-            if (chunk.version != Version.NONE) obsoleteKeys += chunk.key
+        for (block in job.knownBlocks()) {
+            block.written = Long.MAX_VALUE
+            dirty -= block
+            if (block.version != Version.NONE) obsoleteKeys += block.key
         }
     }
 
@@ -212,19 +212,19 @@
     }
 
     private fun touch(
-        chunk: Chunk,
+        block: ProgressBlock,
         now: Duration,
     ) {
-        chunk.edits++
-        if (chunk.dirtySince == null) chunk.dirtySince = now
-        dirty += chunk
+        block.edits++
+        if (block.dirtySince == null) block.dirtySince = now
+        dirty += block
     }
 
-    /** Takes up a log entry as a former owner left it, whose effects on [named] are applied already. */
+    /** Takes up a log entry as a former leader left it, whose effects on [named] are applied already. */
     fun load(
         number: Int,
         version: Version,
-        named: Collection<Chunk>,
+        named: Collection<ProgressBlock>,
         now: Duration,
     ) {
         named.forEach { touch(it, now) }
@@ -234,23 +234,23 @@
     }
 
     fun load(
-        record: Versioned<HostsRecord>,
-        known: Set<HostName>,
+        record: Versioned<MachineSetRecord>,
+        known: Set<MachineName>,
     ) {
-        condemned = record.value.hosts
-        condemnedVersion = record.version
-        toCondemn += condemned.filter { it in known }
+        revokedRenewals = record.value.machineNames
+        revokedRenewalsVersion = record.version
+        pendingRevocations += revokedRenewals.filter { it in known }
     }
 
     /** The next writes, most needed first; null where none is due. */
     fun nextBatch(
         maxOps: Int,
-        machines: Set<HostName>,
+        machines: Set<MachineName>,
         now: Duration,
-    ): Batch? {
+    ): WriteBatch? {
         val ops = (maxOps * share).toInt().coerceAtLeast(MIN_OPS)
         val valueBytes = (limits.valueBytes * share).toInt()
-        val transactionBytes = (MAX_TXN_BYTES * share).toInt()
+        val transactionBytes = (MAX_TRANSACTION_BYTES * share).toInt()
         return Composer(ops, valueBytes, transactionBytes, now).compose(machines)
     }
 
@@ -261,34 +261,34 @@
         private val now: Duration,
     ) {
         private val writes = ArrayList<Write>()
-        private val guards = ArrayList<Guard>()
-        private val chunks = ArrayList<ChunkWrite>()
+        private val preconditions = ArrayList<Precondition>()
+        private val blocks = ArrayList<ProgressWrite>()
         private val included = ArrayList<Assignment>()
-        private val endings = ArrayList<TaskEnd>()
-        private val ended = ArrayList<Pair<RunningJob, End>>()
+        private val endings = ArrayList<TaskExit>()
+        private val ended = ArrayList<Pair<RunningJob, JobOutcome>>()
         private val droppedKeys = ArrayList<String>()
-        private val logged = ArrayList<Pair<Int, List<Pair<Chunk, Long>>>>()
-        private val copies = ArrayList<Pair<Chunk, Long>>()
+        private val logged = ArrayList<Pair<Int, List<Pair<ProgressBlock, Long>>>>()
+        private val copies = ArrayList<Pair<ProgressBlock, Long>>()
         private var size = 0
-        private val guarded = HashSet<RunningJob>()
-
-        fun compose(machines: Set<HostName>): Batch? {
-            toCondemn.retainAll(machines)
-            var condemn: Set<HostName>? = null
-            val fitting = HostsRecord.fitting(toCondemn, valueBytes)
-            if (fitting != condemned) {
-                condemn = fitting
-                writes += Write.Put(Keys.CONDEMNED, HostsRecord(fitting).toMap())
-                guards += Guard(Keys.CONDEMNED, condemnedVersion)
-                size += fitting.sumOf { it.value.length + HOST_BYTES }
+        private val guardedJobs = HashSet<RunningJob>()
+
+        fun compose(machines: Set<MachineName>): WriteBatch? {
+            pendingRevocations.retainAll(machines)
+            var revocation: Set<MachineName>? = null
+            val fitting = MachineSetRecord.fitting(pendingRevocations, valueBytes)
+            if (fitting != revokedRenewals) {
+                revocation = fitting
+                writes += Write.Put(Keys.REVOKED_RENEWALS, MachineSetRecord(fitting).toMap())
+                preconditions += Precondition(Keys.REVOKED_RENEWALS, revokedRenewalsVersion)
+                size += fitting.sumOf { it.value.length + MACHINE_NAME_BYTES }
             }
             jobsOver()
             val lasting = log()
             // Progress can wait and then takes fewer writes; without a free slot it makes one free.
-            for (chunk in dirty) {
+            for (block in dirty) {
                 if (writes.size >= maxOps || size >= maxBytes) break
-                if (lasting && (chunk.dirtySince ?: now) + LAZY > now) break
-                if (!chunk.job.over) add(chunk)
+                if (lasting && (block.dirtySince ?: now) + LAZY > now) break
+                if (!block.job.over) add(block)
             }
             while (writes.size < maxOps && obsoleteKeys.isNotEmpty()) {
                 val key = obsoleteKeys.removeFirst()
@@ -296,21 +296,21 @@
                 writes += Write.Drop(key)
             }
             if (writes.isEmpty()) return null
-            guards += Guard(Keys.OWNER, ownerVersion)
-            return Batch(guards, writes, chunks, included, endings, ended, droppedKeys, logged, copies, condemn)
+            preconditions += Precondition(Keys.LEADER, leaderVersion)
+            return WriteBatch(preconditions, writes, blocks, included, endings, ended, droppedKeys, logged, copies, revocation)
         }
 
         private fun jobsOver() {
             // Where few writes fit, what is over is not to keep starts waiting.
             val most = if (starts.isEmpty()) maxOps else maxOf(2, maxOps / 2)
             for (job in over) {
-                if (writes.size + 2 > most || guards.size + END_GUARDS > maxOps * GUARDS_PER_WRITE) break
+                if (writes.size + 2 > most || preconditions.size + OUTCOME_PRECONDITIONS > maxOps * PRECONDITIONS_PER_WRITE) break
                 val key = Keys.job(job.spec.id)
-                val end = if (job.cancelled || job.dependencyCancelled) End.CANCELLED else End.DONE
-                guards += Guard(key, job.record.version)
+                val end = if (job.cancelled || job.dependencyCancelled) JobOutcome.CANCELLED else JobOutcome.DONE
+                preconditions += Precondition(key, job.record.version)
                 if (!job.cancelled) {
-                    writes += Write.Put(Keys.end(job.spec.id), EndRecord(end, job.spec.tasks).toMap())
-                    guards += Guard(Keys.end(job.spec.id), Version.NONE)
+                    writes += Write.Put(Keys.outcome(job.spec.id), OutcomeRecord(end, job.spec.tasks).toMap())
+                    preconditions += Precondition(Keys.outcome(job.spec.id), Version.NONE)
                 }
                 writes += Write.Drop(key)
                 ended += job to end
@@ -335,18 +335,18 @@
             return lasting
         }
 
-        /** Copies the chunk that most entries are kept for among those whose own record fits into no value. */
+        /** Copies the progress block that most entries are kept for among those whose own record fits into no value. */
         private fun copyOne(free: ArrayDeque<LogSlot>) {
-            val entries = HashMap<Chunk, Int>()
-            for (slot in slots) for (chunk in slot.keptFor) entries.merge(chunk, 1, Int::plus)
-            val chunks =
+            val entries = HashMap<ProgressBlock, Int>()
+            for (slot in slots) for (block in slot.reservedFor) entries.merge(block, 1, Int::plus)
+            val blocks =
                 entries.keys
-                    .filter { !it.job.over && it.job.chunkRecord(it, seq).bytes > valueBytes }
+                    .filter { !it.job.over && it.job.progressRecord(it, seq).bytes > valueBytes }
                     .sortedByDescending { entries.getValue(it) }
-            for (chunk in chunks) {
-                val rows = ChunkCopy(chunk).rows(valueBytes)
-                if (rows.size < entries.getValue(chunk) && fits(rows.size) && rows.size <= free.size) {
-                    copy(chunk, rows, free)
+            for (block in blocks) {
+                val rows = LogCompaction(block).rows(valueBytes)
+                if (rows.size < entries.getValue(block) && fits(rows.size) && rows.size <= free.size) {
+                    copy(block, rows, free)
                     return
                 }
             }
@@ -358,44 +358,44 @@
         }
 
         private fun copy(
-            chunk: Chunk,
+            block: ProgressBlock,
             rows: List<LogRow>,
             free: ArrayDeque<LogSlot>,
         ) {
-            copies += chunk to chunk.edits
-            touch(chunk, now)
+            copies += block to block.edits
+            touch(block, now)
             size += rows.size * valueBytes
-            for (row in rows) writeEntry(free.removeFirst(), mapOf(chunk.job.spec.id to row), listOf(chunk))
+            for (row in rows) writeEntry(free.removeFirst(), mapOf(block.job.spec.id to row), listOf(block))
         }
 
         /**
-         * Guards for so many jobs fit only: the most urgent that were placed first, with all of their starts. Were
+         * Guards for so many jobs fit only: the highest priority that were placed first, with all of their starts. Were
          * it so many starts in a row, a batch would hold a few of each of some jobs, and hundreds would wait.
          */
         private fun guardable(): List<Assignment> {
-            val most = limits.txnOps * (GUARDS_PER_WRITE - 1) - OTHER_GUARDS - guards.size
+            val most = limits.transactionOps * (PRECONDITIONS_PER_WRITE - 1) - OTHER_PRECONDITIONS - preconditions.size
             val jobs = HashSet<RunningJob>()
-            return starts.sortedBy { it.job.urgency }.filter {
+            return starts.sortedBy { it.job.priority }.filter {
                 it.job in jobs || (jobs.size < most && jobs.add(it.job))
             }
         }
 
         /** A start is recorded only if its job is not cancelled by then, whoever has told so meanwhile. */
-        private fun guard(job: RunningJob) {
-            if (!guarded.add(job)) return
-            val guard = Guard(Keys.job(job.spec.id), job.record.version)
-            guards += guard
-            size += guard.key.length + GUARD_BYTES
+        private fun precondition(job: RunningJob) {
+            if (!guardedJobs.add(job)) return
+            val precondition = Precondition(Keys.job(job.spec.id), job.record.version)
+            preconditions += precondition
+            size += precondition.key.length + PRECONDITION_BYTES
         }
 
         /** False where nothing more fits into the transaction. */
         private fun write(
             slot: LogSlot,
             openStarts: ArrayDeque<Assignment>,
-            openEnds: ArrayDeque<TaskEnd>,
+            openEnds: ArrayDeque<TaskExit>,
         ): Boolean {
-            val rows = LinkedHashMap<JobId, Pair<ArrayList<Placement>, ArrayList<Ended>>>()
-            val named = LinkedHashSet<Chunk>()
+            val rows = LinkedHashMap<JobId, Pair<ArrayList<Placement>, ArrayList<LoggedExit>>>()
+            val named = LinkedHashSet<ProgressBlock>()
             var bytes = LogRecord.FIXED_BYTES
 
             fun fits(
@@ -409,19 +409,19 @@
             }
             while (true) {
                 val a = openStarts.firstOrNull() ?: break
-                val p = Placement(a.index, a.attempt, a.host)
+                val p = Placement(a.index, a.attempt, a.machineName)
                 if (!fits(a.job, LogRecord.bytes(p))) break
-                guard(a.job)
+                precondition(a.job)
                 rows.getOrPut(a.job.spec.id) { ArrayList<Placement>() to ArrayList() }.first += p
-                named += a.job.chunk(a.index)
+                named += a.job.block(a.index)
                 included += openStarts.removeFirst()
             }
             while (openStarts.isEmpty()) {
                 val e = openEnds.firstOrNull() ?: break
-                val row = Ended(e.index, e.attempt, e.done)
+                val row = LoggedExit(e.index, e.attempt, e.done)
                 if (!fits(e.job, LogRecord.bytes(row))) break
                 rows.getOrPut(e.job.spec.id) { ArrayList<Placement>() to ArrayList() }.second += row
-                named += e.job.chunk(e.index)
+                named += e.job.block(e.index)
                 endings += openEnds.removeFirst()
             }
             if (named.isEmpty()) return false
@@ -433,51 +433,51 @@
         private fun writeEntry(
             slot: LogSlot,
             rows: Map<JobId, LogRow>,
-            named: Collection<Chunk>,
+            named: Collection<ProgressBlock>,
         ) {
             writes += Write.Put(slot.key, LogRecord(++seq, rows).toMap())
-            guards += Guard(slot.key, slot.version)
+            preconditions += Precondition(slot.key, slot.version)
             logged += slot.number to named.map { it to it.edits }
         }
 
-        private fun add(chunk: Chunk) {
-            val record = chunk.job.chunkRecord(chunk, seq)
+        private fun add(block: ProgressBlock) {
+            val record = block.job.progressRecord(block, seq)
             val bytes = record.bytes
             // Cut by a former, larger limit: it stays in the log, and fits once more of its tasks are done.
             if (bytes > valueBytes) return
             size += bytes
-            writes += Write.Put(chunk.key, record.toMap())
-            guards += Guard(chunk.key, chunk.version)
-            chunks += ChunkWrite(chunk, chunk.edits, record.done)
-            for (p in record.placed) chunk.job.assigned[p.index]?.let { if (!it.recorded) included += it }
+            writes += Write.Put(block.key, record.toMap())
+            preconditions += Precondition(block.key, block.version)
+            blocks += ProgressWrite(block, block.edits, record.done)
+            for (p in record.placed) block.job.assigned[p.index]?.let { if (!it.recorded) included += it }
         }
     }
 
-    /** Taken by the state service; answered with the machines that got starts recorded. */
+    /** Taken by the key-value store; answered with the machines that got starts recorded. */
     fun applied(
-        batch: Batch,
+        batch: WriteBatch,
         version: Version,
-    ): Set<HostName> {
-        val touched = HashSet<HostName>()
-        batch.condemned?.let {
-            condemned = it
-            condemnedVersion = version
+    ): Set<MachineName> {
+        val touched = HashSet<MachineName>()
+        batch.revokedRenewals?.let {
+            revokedRenewals = it
+            revokedRenewalsVersion = version
         }
-        for ((chunk, edits) in batch.copies) chunk.copied = maxOf(chunk.copied, edits)
-        for (write in batch.chunks) {
-            val chunk = write.chunk
-            chunk.version = version
-            chunk.written = maxOf(chunk.written, write.edits)
-            chunk.storedDone = write.done
-            dirty -= chunk
-            if (chunk.written == Long.MAX_VALUE) {
+        for ((block, edits) in batch.copies) block.copied = maxOf(block.copied, edits)
+        for (write in batch.blocks) {
+            val block = write.block
+            block.version = version
+            block.written = maxOf(block.written, write.edits)
+            block.storedDone = write.done
+            dirty -= block
+            if (block.written == Long.MAX_VALUE) {
                 // Its job ended while this was on its way.
-                obsoleteKeys += chunk.key
-            } else if (chunk.edits == write.edits) {
-                chunk.dirtySince = null
+                obsoleteKeys += block.key
+            } else if (block.edits == write.edits) {
+                block.dirtySince = null
             } else {
                 // Changed while it was on its way: it takes its place at the end.
-                dirty += chunk
+                dirty += block
             }
         }
         for ((number, named) in batch.logged) {
@@ -492,56 +492,56 @@
             starts -= a
             if (a.job.assigned[a.index] !== a || a.recorded) continue
             a.recorded = true
-            a.job.chunk(a.index).startLogged(Placement(a.index, a.attempt, a.host))
-            touched += a.host
+            a.job.block(a.index).startLogged(Placement(a.index, a.attempt, a.machineName))
+            touched += a.machineName
         }
         return touched
     }
 
     /** Not carried out; the obsolete keys are dropped later. */
-    fun notApplied(batch: Batch) {
+    fun notApplied(batch: WriteBatch) {
         obsoleteKeys.addAll(batch.obsoleteKeys)
     }
 
     /** Not carried out, and not to be tried again as it is: from now on less goes into one. */
-    fun rejected(batch: Batch) {
+    fun rejected(batch: WriteBatch) {
         notApplied(batch)
         share = (share / 2).coerceAtLeast(LEAST_SHARE)
     }
 
-    /** What the state service shows of a key whose guard failed, or whose write's fate is unknown. */
-    fun settle(
+    /** What the key-value store shows of a key whose precondition failed, or whose write's fate is unknown. */
+    fun resolve(
         key: String,
         version: Version?,
     ) {
         val slot = Keys.asLog(key)
-        if (key == Keys.CONDEMNED) {
-            condemnedVersion = version ?: Version.NONE
+        if (key == Keys.REVOKED_RENEWALS) {
+            revokedRenewalsVersion = version ?: Version.NONE
             // What it says is not known; it is written again, and counts from then.
-            condemned = setOf(UNKNOWN_HOST)
+            revokedRenewals = setOf(UNKNOWN_MACHINE)
         } else if (slot != null) {
             slots.getOrNull(slot)?.version = version ?: Version.NONE
         }
     }
 
     companion object {
-        private const val MAX_TXN_BYTES = 50_000
+        private const val MAX_TRANSACTION_BYTES = 50_000
         private const val LEAST_SHARE = 0.125
 
         /** The end of a job takes two. */
         private const val MIN_OPS = 2
-        private const val GUARDS_PER_WRITE = 4
+        private const val PRECONDITIONS_PER_WRITE = 4
 
-        /** Besides one for each write: the owner's record, and the machines condemned. */
-        private const val OTHER_GUARDS = 2
-        private const val GUARD_BYTES = 24
+        /** Besides one for each write: the leader's record, and the machines condemned. */
+        private const val OTHER_PRECONDITIONS = 2
+        private const val PRECONDITION_BYTES = 24
 
-        /** Of the job, of its end, and of the owner's record. */
-        private const val END_GUARDS = 3
-        private const val HOST_BYTES = 4
-        private val UNKNOWN_HOST = HostName("")
+        /** Of the job, of its end, and of the leader's record. */
+        private const val OUTCOME_PRECONDITIONS = 3
+        private const val MACHINE_NAME_BYTES = 4
+        private val UNKNOWN_MACHINE = MachineName("")
 
-        /** What the log may take altogether: every controller keeps a copy, and a new owner reads it all. */
+        /** What the log may take altogether: every controller keeps a copy, and a new leader reads it all. */
         private const val LOG_BYTES = 2 * 1024 * 1024
         private const val MIN_SLOTS = 256
         private const val MAX_SLOTS = 1024
@@ -558,7 +558,7 @@
         /** With fewer free slots than one in so many, room is made in the log. */
         private const val RESERVE = 8
 
-        /** A chunk's own record follows after this long, if its job still runs. */
+        /** A progress record follows after this long, if its job still runs. */
         private val LAZY = 20.seconds
 
         /** Ends wait this long for starts to be written with. */
--- a/src/main/kotlin/umberslip/settings/Settings.kt
+++ b/src/main/kotlin/umberslip/settings/Settings.kt
@@ -2,14 +2,14 @@
 
 import umberslip.http.Documents
 import umberslip.http.Fields
-import umberslip.http.Malformed
+import umberslip.http.MalformedMessageException
 import java.net.InetSocketAddress
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
 /** A setting is missing or makes no sense; the message names it. */
-class BadSettings(
+class InvalidSettingsException(
     message: String,
 ) : Exception(message)
 
@@ -51,7 +51,7 @@
 }
 
 data class WorkerSettings(
-    val report: Duration,
+    val heartbeatInterval: Duration,
     val lease: Duration,
     val gangWait: Duration,
     val gangPeer: Duration,
@@ -59,18 +59,18 @@
 )
 
 /**
- * The state service's limits. It may lower them without notice to what `state.next` names: sizes keep
+ * The key-value store's limits. It may lower them without notice to what `state.next` names: sizes keep
  * within the smaller of both from the start, rates follow once the service says so.
  */
-data class StateSettings(
+data class StoreSettings(
     val rps: Double,
     val writeRps: Double,
     val valueBytes: Int,
-    val txnOps: Int,
+    val transactionOps: Int,
     val nextRps: Double = rps,
     val nextWriteRps: Double = writeRps,
     /** What a job's progress is cut by; every version must cut alike, so it goes by the first limit for ever. */
-    val chunkBytes: Int = valueBytes,
+    val blockBytes: Int = valueBytes,
 )
 
 /** The platform's settings file, checked. */
@@ -80,14 +80,14 @@
     val bind: InetSocketAddress,
     val peerListen: InetSocketAddress,
     val known: List<Peer>,
-    val cloud: InetSocketAddress,
-    val state: InetSocketAddress,
+    val cloudAddress: InetSocketAddress,
+    val storeAddress: InetSocketAddress,
     val nodes: Int,
     val zones: List<String>,
     val teams: List<TeamSettings>,
     val objectives: List<Objective>,
     val workers: WorkerSettings,
-    val stateLimits: StateSettings,
+    val storeLimits: StoreSettings,
     val cloudRps: Double,
     val listLag: Duration,
     val sockets: Int,
@@ -97,8 +97,8 @@
         fun parse(json: String): Settings =
             try {
                 read(Fields.of(Documents.readJson(json)))
-            } catch (e: Malformed) {
-                throw BadSettings(e.message ?: "malformed settings")
+            } catch (e: MalformedMessageException) {
+                throw InvalidSettingsException(e.message ?: "malformed settings")
             }
 
         private fun read(f: Fields): Settings {
@@ -107,18 +107,18 @@
             val state = s.map("state")
             val cloud = s.map("cloud")
             val teams = s.maps("teams").map(::team)
-            if (teams.isEmpty()) throw BadSettings("settings.teams is empty")
-            if (teams.map { it.name }.toSet().size != teams.size) throw BadSettings("settings.teams names a team twice")
+            if (teams.isEmpty()) throw InvalidSettingsException("settings.teams is empty")
+            if (teams.map { it.name }.toSet().size != teams.size) throw InvalidSettingsException("settings.teams names a team twice")
             return Settings(
-                member = f.text("member").ifEmpty { throw BadSettings("member is empty") },
+                member = f.text("member").ifEmpty { throw InvalidSettingsException("member is empty") },
                 area = f.text("area"),
                 bind = address(f, "bind"),
                 peerListen = address(f, "peer_listen"),
                 known = f.maps("known").map { Peer(it.text("member"), it.text("area"), address(it, "addr")) },
-                cloud = address(f.map("endpoints"), "cloud"),
-                state = address(f.map("endpoints"), "state"),
+                cloudAddress = address(f.map("endpoints"), "cloud"),
+                storeAddress = address(f.map("endpoints"), "state"),
                 nodes = positive(s, "nodes").toInt(),
-                zones = s.textsOrNull("zones") ?: throw BadSettings("settings.zones is missing"),
+                zones = s.textsOrNull("zones") ?: throw InvalidSettingsException("settings.zones is missing"),
                 teams = teams,
                 objectives = s.mapsOrEmpty("objectives").mapNotNull(::objective),
                 workers =
@@ -129,18 +129,18 @@
                         positive(workers, "gang_peer_s").seconds,
                         positive(workers, "cancel_s").seconds,
                     ),
-                stateLimits = stateLimits(state),
+                storeLimits = storeLimits(state),
                 cloudRps = positive(cloud, "rps"),
                 listLag = positive(cloud, "list_lag_s").seconds,
                 sockets =
                     positive(s.map("quota"), "sockets").toInt().also {
-                        if (it < MIN_SOCKETS) throw BadSettings("settings.quota.sockets is below $MIN_SOCKETS")
+                        if (it < MIN_SOCKETS) throw InvalidSettingsException("settings.quota.sockets is below $MIN_SOCKETS")
                     },
                 skew = (s.numberOrNull("skew_ms") ?: 0.0).milliseconds,
             )
         }
 
-        private fun stateLimits(now: Fields): StateSettings {
+        private fun storeLimits(now: Fields): StoreSettings {
             val next = if (now.has("next")) now.map("next") else null
 
             fun later(name: String): Double =
@@ -149,17 +149,17 @@
                 } else {
                     positive(now, name)
                 }
-            return StateSettings(
+            return StoreSettings(
                 rps = positive(now, "rps"),
                 writeRps = positive(now, "write_rps"),
                 valueBytes = (later("value_kb") * 1024).toInt(),
-                txnOps =
+                transactionOps =
                     later("txn_ops").toInt().also {
-                        if (it < MIN_TXN_OPS) throw BadSettings("settings.state.txn_ops is below $MIN_TXN_OPS")
+                        if (it < MIN_TRANSACTION_OPS) throw InvalidSettingsException("settings.state.txn_ops is below $MIN_TRANSACTION_OPS")
                     },
                 nextRps = later("rps"),
                 nextWriteRps = later("write_rps"),
-                chunkBytes = (positive(now, "value_kb") * 1024).toInt(),
+                blockBytes = (positive(now, "value_kb") * 1024).toInt(),
             )
         }
 
@@ -184,7 +184,7 @@
         private fun positive(
             f: Fields,
             name: String,
-        ): Double = f.number(name).also { if (it <= 0) throw BadSettings("${f.path(name)} must be above 0") }
+        ): Double = f.number(name).also { if (it <= 0) throw InvalidSettingsException("${f.path(name)} must be above 0") }
 
         private fun notNegative(
             f: Fields,
@@ -193,7 +193,7 @@
             (
                 f.numberOrNull(name)
                     ?: 0.0
-            ).also { if (it < 0) throw BadSettings("${f.path(name)} must not be below 0") }
+            ).also { if (it < 0) throw InvalidSettingsException("${f.path(name)} must not be below 0") }
 
         private fun address(
             f: Fields,
@@ -201,20 +201,20 @@
         ): InetSocketAddress =
             try {
                 address(f.text(name))
-            } catch (e: BadSettings) {
-                throw BadSettings("${f.path(name)}: ${e.message}")
+            } catch (e: InvalidSettingsException) {
+                throw InvalidSettingsException("${f.path(name)}: ${e.message}")
             }
 
         /** Only numbers: there are no name look-ups where controllers run. */
         fun address(text: String): InetSocketAddress {
             val port = text.substringAfterLast(':', "").toIntOrNull()?.takeIf { it in 1..MAX_PORT }
             val host = text.substringBeforeLast(':')
-            if (port == null || !IPV4.matches(host)) throw BadSettings("not an IPv4 address and port: $text")
+            if (port == null || !IPV4.matches(host)) throw InvalidSettingsException("not an IPv4 address and port: $text")
             return InetSocketAddress(host, port)
         }
 
         private const val MIN_SOCKETS = 40
-        private const val MIN_TXN_OPS = 4
+        private const val MIN_TRANSACTION_OPS = 4
         private const val MAX_PORT = 65_535
         private val IPV4 = Regex("""(\d{1,3})(\.\d{1,3}){3}""")
     }
--- a/src/main/kotlin/umberslip/settings/Tuning.kt
+++ b/src/main/kotlin/umberslip/settings/Tuning.kt
@@ -9,7 +9,7 @@
 
 /** What is switched on of the recovery after a takeover; everything is off unless operators ask for it. */
 data class RecoveryTuning(
-    /** Compares records and reports after a takeover, and publishes what it finds. */
+    /** Compares records and heartbeats after a takeover, and publishes what it finds. */
     val track: Boolean = false,
     /** Returns silent machines that the cloud's list should show and does not. */
     val returnMissing: Boolean = false,
@@ -17,8 +17,8 @@
 
 /** The operators' own settings (TOML); every one has a default. */
 data class Tuning(
-    /** How long the owner's record outlives its last renewal. */
-    val ownerLease: Duration = 4.seconds,
+    /** How long the leader's record outlives its last renewal. */
+    val leaderLeaseDuration: Duration = 4.seconds,
     /** Set aside for clock drift and late timers wherever two clocks must agree on an end. */
     val margin: Duration = 1.seconds,
     /** How long one round of placing may take before others get their turn. */
@@ -37,7 +37,7 @@
                 try {
                     TomlParser().parse(toml)
                 } catch (e: ParsingException) {
-                    throw BadSettings("operators' settings: ${e.message}")
+                    throw InvalidSettingsException("operators' settings: ${e.message}")
                 }
             val known =
                 mapOf(
@@ -48,13 +48,13 @@
                 )
             for (section in config.entrySet()) {
                 val names =
-                    known[section.key] ?: throw BadSettings("operators' settings: unknown section ${section.key}")
+                    known[section.key] ?: throw InvalidSettingsException("operators' settings: unknown section ${section.key}")
                 val table =
                     section.getRawValue<Any?>() as? UnmodifiableConfig
-                        ?: throw BadSettings("operators' settings: ${section.key} is not a section")
+                        ?: throw InvalidSettingsException("operators' settings: ${section.key} is not a section")
                 for (entry in table.entrySet()) {
                     if (entry.key !in names) {
-                        throw BadSettings("operators' settings: unknown ${section.key}.${entry.key}")
+                        throw InvalidSettingsException("operators' settings: unknown ${section.key}.${entry.key}")
                     }
                 }
             }
@@ -64,21 +64,21 @@
                     null -> null
                     is Number -> {
                         it.toDouble().also { n ->
-                            if (n <= 0) throw BadSettings("operators' settings: $path must be above 0")
+                            if (n <= 0) throw InvalidSettingsException("operators' settings: $path must be above 0")
                         }
                     }
-                    else -> throw BadSettings("operators' settings: $path is not a number")
+                    else -> throw InvalidSettingsException("operators' settings: $path is not a number")
                 }
 
             fun flag(path: String): Boolean? =
                 when (val it = config.get<Any?>(path)) {
                     null -> null
                     is Boolean -> it
-                    else -> throw BadSettings("operators' settings: $path is not true or false")
+                    else -> throw InvalidSettingsException("operators' settings: $path is not true or false")
                 }
             val d = Tuning()
             return Tuning(
-                ownerLease = number("ownership.hold_s")?.seconds ?: d.ownerLease,
+                leaderLeaseDuration = number("ownership.hold_s")?.seconds ?: d.leaderLeaseDuration,
                 margin = number("ownership.margin_s")?.seconds ?: d.margin,
                 roundBudget = number("dispatch.round_budget_ms")?.milliseconds ?: d.roundBudget,
                 drain = number("fleet.drain_s")?.seconds ?: d.drain,
@@ -97,7 +97,7 @@
 /**
  * The times that safety rests on.
  *
- * An owner that can no longer renew may go on answering reports for [grace], so that running work
+ * An leader that can no longer renew may go on answering heartbeats for [grace], so that running work
  * survives a short outage. A cancellation may meanwhile be told by another controller, and bites at
  * the latest once the leases renewed by those answers have run out: ownerLease + grace + lease + margin
  * must fit into the time that a cancellation has.
@@ -106,19 +106,19 @@
     workers: WorkerSettings,
     tuning: Tuning,
 ) {
-    val ownerLease: Duration = tuning.ownerLease
+    val leaderLeaseDuration: Duration = tuning.leaderLeaseDuration
     val margin: Duration = tuning.margin
     val lease: Duration = workers.lease
-    val grace: Duration = workers.cancel - workers.lease - ownerLease - margin
+    val grace: Duration = workers.cancel - workers.lease - leaderLeaseDuration - margin
 
     init {
         if (grace < Duration.ZERO) {
-            throw BadSettings(
+            throw InvalidSettingsException(
                 "ownership.hold_s is too long: " +
                     "with settings.workers.lease_s it must fit into settings.workers.cancel_s",
             )
         }
-        if (ownerLease < margin * 2) throw BadSettings("ownership.hold_s must be at least twice ownership.margin_s")
+        if (leaderLeaseDuration < margin * 2) throw InvalidSettingsException("ownership.hold_s must be at least twice ownership.margin_s")
     }
 
     /** The clocks of two machines drift apart by at most this share. */
--- a/src/main/kotlin/umberslip/state/StateService.kt
+++ b/src/main/kotlin/umberslip/store/KeyValueStore.kt
@@ -1,22 +1,22 @@
-package umberslip.state
+package umberslip.store
 
 import io.netty.handler.codec.http.HttpMethod
 import kotlinx.coroutines.delay
-import umberslip.actor.Clock
+import umberslip.core.Clock
 import umberslip.http.HttpClient
-import umberslip.http.Malformed
-import umberslip.http.NoAnswer
+import umberslip.http.MalformedMessageException
+import umberslip.http.NoResponseException
+import umberslip.http.RateLimitedException
 import umberslip.http.Reply
-import umberslip.http.Throttled
-import umberslip.http.Unavailable
+import umberslip.http.ServiceUnavailableException
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 import kotlin.time.DurationUnit
 
-/** A lease of the state service. */
+/** A lease of the key-value store. */
 @JvmInline
-value class Lease(
+value class StoreLease(
     val id: Long,
 )
 
@@ -30,7 +30,7 @@
     }
 }
 
-data class Guard(
+data class Precondition(
     val key: String,
     val version: Version,
 )
@@ -41,7 +41,7 @@
     data class Put(
         override val key: String,
         val data: Map<String, Any?>,
-        val lease: Lease? = null,
+        val lease: StoreLease? = null,
     ) : Write
 
     data class Drop(
@@ -82,34 +82,34 @@
     val changes: List<Change>,
 )
 
-sealed interface TxnResult {
+sealed interface TransactionResult {
     data class Applied(
         val version: Version,
-    ) : TxnResult
+    ) : TransactionResult
 
-    data class Refused(
+    data class PreconditionFailed(
         val failed: List<String>,
-    ) : TxnResult
+    ) : TransactionResult
 
     /** A put named a hold that has ended. */
-    data object NoLease : TxnResult
+    data object LeaseExpired : TransactionResult
 
     /** Over a limit of size, or malformed: the same again would meet the same answer. */
     data class Rejected(
         val why: String,
-    ) : TxnResult
+    ) : TransactionResult
 }
 
 /**
- * The state service by its published protocol. Every call may throw [Unavailable] (certainly not
- * carried out) or [NoAnswer] (carried out or not, or later).
+ * The key-value store by its published protocol. Every call may throw [ServiceUnavailableException] (certainly not
+ * carried out) or [NoResponseException] (carried out or not, or later).
  */
-interface StateService {
+interface KeyValueStore {
     suspend fun get(key: String): Entry?
 
     /**
      * As [get], for the questions of users. It gives way to all other requests: where these use up the rate, it is
-     * refused at once with [Unavailable], so that questions never delay reads of the records, leases or writes.
+     * refused at once with [ServiceUnavailableException], so that questions never delay reads of the records, leases or writes.
      */
     suspend fun lookUp(key: String): Entry?
 
@@ -124,21 +124,21 @@
         after: Long,
     ): Changes?
 
-    suspend fun txn(
-        guards: List<Guard>,
+    suspend fun compareAndSwap(
+        preconditions: List<Precondition>,
         writes: List<Write>,
-    ): TxnResult
+    ): TransactionResult
 
-    suspend fun openLease(ttl: Duration): Lease
+    suspend fun openLease(ttl: Duration): StoreLease
 
     /** False once the hold has ended. */
-    suspend fun renew(lease: Lease): Boolean
+    suspend fun renew(lease: StoreLease): Boolean
 
-    suspend fun endLease(lease: Lease)
+    suspend fun endLease(lease: StoreLease)
 }
 
 /** Keeps to a rate per second with bursts of one second's worth; urgent takers may go into debt. */
-class Pacer(
+class RateLimiter(
     private var rate: Double,
     private val clock: Clock,
     private val lowered: Double = rate,
@@ -223,17 +223,17 @@
     }
 }
 
-class HttpStateService(
+class HttpKeyValueStore(
     private val http: HttpClient,
-    private val requests: Pacer,
-) : StateService {
+    private val requests: RateLimiter,
+) : KeyValueStore {
     override suspend fun get(key: String): Entry? {
         requests.take(1, urgent = false)
         return fetch(key)
     }
 
     override suspend fun lookUp(key: String): Entry? {
-        if (!requests.takeSpare(1, LOOK_UP_PATIENCE)) throw Unavailable("too many questions for the state service")
+        if (!requests.takeSpare(1, LOOK_UP_PATIENCE)) throw ServiceUnavailableException("too many questions for the state service")
         return fetch(key)
     }
 
@@ -275,13 +275,13 @@
         return Changes(f.long("epoch"), changes)
     }
 
-    override suspend fun txn(
-        guards: List<Guard>,
+    override suspend fun compareAndSwap(
+        preconditions: List<Precondition>,
         writes: List<Write>,
-    ): TxnResult {
+    ): TransactionResult {
         val body =
             mapOf(
-                "guards" to guards.map { mapOf("path" to it.key, "stamp" to it.version.value) },
+                "guards" to preconditions.map { mapOf("path" to it.key, "stamp" to it.version.value) },
                 "writes" to
                     writes.map {
                         when (it) {
@@ -297,26 +297,26 @@
             )
         val reply = call(HttpMethod.POST, "/txn", body)
         return when (reply.status) {
-            200 -> TxnResult.Applied(Version(reply.fields().long("epoch")))
-            409 -> TxnResult.Refused(reply.fields().textsOrNull("failed") ?: emptyList())
+            200 -> TransactionResult.Applied(Version(reply.fields().long("epoch")))
+            409 -> TransactionResult.PreconditionFailed(reply.fields().textsOrNull("failed") ?: emptyList())
             400 -> {
                 if (reply.fields().textOrNull("error") == "no such lease") {
-                    TxnResult.NoLease
+                    TransactionResult.LeaseExpired
                 } else {
-                    TxnResult.Rejected("${reply.body}")
+                    TransactionResult.Rejected("${reply.body}")
                 }
             }
             else -> refused(reply)
         }
     }
 
-    override suspend fun openLease(ttl: Duration): Lease {
+    override suspend fun openLease(ttl: Duration): StoreLease {
         val reply = call(HttpMethod.POST, "/holds", mapOf("ttl_ms" to ttl.inWholeMilliseconds), urgent = true)
         if (reply.status != 200) refused(reply)
-        return Lease(reply.fields().long("hold"))
+        return StoreLease(reply.fields().long("hold"))
     }
 
-    override suspend fun renew(lease: Lease): Boolean {
+    override suspend fun renew(lease: StoreLease): Boolean {
         val reply = call(HttpMethod.POST, "/holds/${lease.id}/renew", emptyMap<String, Any?>(), urgent = true)
         return when (reply.status) {
             200 -> true
@@ -325,7 +325,7 @@
         }
     }
 
-    override suspend fun endLease(lease: Lease) {
+    override suspend fun endLease(lease: StoreLease) {
         val reply = call(HttpMethod.DELETE, "/holds/${lease.id}", null, urgent = true)
         if (reply.status != 200 && reply.status != 404) refused(reply)
     }
@@ -347,15 +347,15 @@
     ): Reply =
         try {
             http.call(method, path, body, TIMEOUT)
-        } catch (e: Malformed) {
-            throw NoAnswer("state service: ${e.message}")
+        } catch (e: MalformedMessageException) {
+            throw NoResponseException("state service: ${e.message}")
         }
 
     private fun refused(reply: Reply): Nothing {
         val what = "state service answered ${reply.status} ${reply.body}"
-        if (reply.status != 429) throw Unavailable(what)
+        if (reply.status != 429) throw ServiceUnavailableException(what)
         requests.lower()
-        throw Throttled(what)
+        throw RateLimitedException(what)
     }
 
     private companion object {
--- a/src/main/kotlin/umberslip/toolbox/Records.kt
+++ b/src/main/kotlin/umberslip/toolbox/Records.kt
@@ -5,10 +5,10 @@
 import picocli.CommandLine.Option
 import picocli.CommandLine.Parameters
 import picocli.CommandLine.Spec
-import umberslip.cli.StateServiceReader
+import umberslip.cli.KeyValueStoreReader
 import umberslip.cli.WithSettings
-import umberslip.http.NoAnswer
-import umberslip.http.Unavailable
+import umberslip.http.NoResponseException
+import umberslip.http.ServiceUnavailableException
 import umberslip.records.RecordPages
 import umberslip.recovery.RecordedWork
 import umberslip.recovery.archive.ArchiveFile
@@ -21,7 +21,7 @@
 import java.time.Instant
 import java.util.concurrent.Callable
 
-/** Keeps what the state service says at one moment, and compares two such moments. Reads only from the service. */
+/** Keeps what the key-value store says at one moment, and compares two such moments. Reads only from the service. */
 @Command(
     name = "records",
     mixinStandardHelpOptions = true,
@@ -52,10 +52,10 @@
         val (settings, _) = load()
         val pages =
             try {
-                StateServiceReader.read(settings) { RecordPages.read(it) }
-            } catch (e: Unavailable) {
+                KeyValueStoreReader.read(settings) { RecordPages.read(it) }
+            } catch (e: ServiceUnavailableException) {
                 throw IOException("the records cannot be read: ${e.message}", e)
-            } catch (e: NoAnswer) {
+            } catch (e: NoResponseException) {
                 throw IOException("the records cannot be read: ${e.message}", e)
             }
         ArchiveFile.write(RecordArchive(ArchiveHeader(Instant.now(), pages.revision), pages.entries), file)
--- a/src/main/kotlin/umberslip/toolbox/Toolbox.kt
+++ b/src/main/kotlin/umberslip/toolbox/Toolbox.kt
@@ -4,7 +4,7 @@
 import picocli.CommandLine.Command
 import umberslip.cli.Umberslip
 import umberslip.recovery.archive.ArchiveException
-import umberslip.settings.BadSettings
+import umberslip.settings.InvalidSettingsException
 import java.io.IOException
 import java.util.concurrent.Callable
 import kotlin.system.exitProcess
@@ -26,7 +26,7 @@
         /** What the operator can mend is told in one line and ends with code 1; anything else is a defect. */
         fun commandLine(): CommandLine =
             CommandLine(Toolbox()).setExecutionExceptionHandler { e, line, _ ->
-                if (e !is BadSettings && e !is ArchiveException && e !is IOException) throw e
+                if (e !is InvalidSettingsException && e !is ArchiveException && e !is IOException) throw e
                 line.err.println("umberslip-toolbox: ${e.message}")
                 line.err.flush()
                 CommandLine.ExitCode.SOFTWARE
--- /dev/null
+++ b/src/test/kotlin/umberslip/agents/FollowerLeaseRenewalTest.kt
@@ -0,0 +1,107 @@
+package umberslip.agents
+
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertFalse
+import org.junit.jupiter.api.Assertions.assertNull
+import org.junit.jupiter.api.Assertions.assertThrows
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+import umberslip.core.MachineName
+import umberslip.core.TaskId
+import umberslip.core.Term
+import umberslip.http.Documents
+import umberslip.http.MalformedMessageException
+import umberslip.records.JobRecord
+import umberslip.records.Keys
+import umberslip.records.LeaderRecord
+import umberslip.records.MachineSetRecord
+import umberslip.records.RecordReplica
+import umberslip.sim.Fixtures
+import umberslip.store.Change
+import umberslip.store.StoreLease
+import umberslip.store.Version
+import java.time.Instant
+import kotlin.random.Random
+
+class FollowerLeaseRenewalTest {
+    private val replica = RecordReplica()
+    private val spec = Fixtures.job(Random(1), 1)
+    private val running = ReportedTask(TaskId(spec.id, 0), 7, TaskState.RUNNING, null, false)
+
+    private fun put(
+        key: String,
+        data: Map<String, Any?>,
+        version: Long,
+    ) {
+        replica.apply(Change.Put(key, Documents.readCbor(Documents.writeCbor(data)), Version(version)))
+    }
+
+    private fun answer(fencingToken: Long = 4) =
+        FollowerLeaseRenewal.answer(
+            Heartbeat(MachineName("m"), "small", "east", false, HeartbeatVersion(1, 1), Term(fencingToken), null, listOf(running)),
+            replica,
+        )
+
+    @Test
+    fun `a heartbeat is answered with the leader's term while the records allow it`() {
+        assertNull(answer(), "nobody owns")
+        put(Keys.LEADER, LeaderRecord("c-1", Term(4), StoreLease(1)).toMap(), 1)
+        put(Keys.job(spec.id), JobRecord(spec, Instant.EPOCH, false).toMap(), 2)
+        assertEquals(4L to emptyList<WorkerCommand>(), answer())
+        assertEquals(4L to emptyList<WorkerCommand>(), answer(fencingToken = 3))
+        assertNull(answer(fencingToken = 5), "the worker has seen a higher term")
+        put(Keys.job(spec.id), JobRecord(spec, Instant.EPOCH, true).toMap(), 3)
+        assertEquals(4L to listOf(WorkerCommand.Stop(running.task, 7, 0.0)), answer(), "a cancellation bites here too")
+        put(Keys.REVOKED_RENEWALS, MachineSetRecord(setOf(MachineName("m"))).toMap(), 4)
+        assertNull(answer())
+        put(Keys.REVOKED_RENEWALS, MachineSetRecord(emptySet()).toMap(), 5)
+        assertEquals(4L, answer()?.first)
+    }
+
+    @Test
+    fun `late copies count for nothing, and only two heartbeats in a row are a sign of life`() {
+        val followerLeaseRenewal = FollowerLeaseRenewal(connections = 100)
+
+        fun heartbeat(
+            session: Long,
+            sequenceNumber: Long,
+        ) = Heartbeat(MachineName("m"), "small", "east", false, HeartbeatVersion(session, sequenceNumber), Term(4), null, emptyList())
+        assertTrue(followerLeaseRenewal.isNew(heartbeat(1, 7)))
+        assertFalse(followerLeaseRenewal.isNew(heartbeat(1, 7)))
+        assertFalse(followerLeaseRenewal.isNew(heartbeat(1, 3)))
+        assertTrue(followerLeaseRenewal.isNew(heartbeat(1, 9)))
+        assertEquals(emptySet<MachineName>(), followerLeaseRenewal.takeRenewed(100), "no answer arrived")
+        assertTrue(followerLeaseRenewal.isNew(heartbeat(1, 10)))
+        assertEquals(setOf(MachineName("m")), followerLeaseRenewal.takeRenewed(100))
+        assertEquals(emptySet<MachineName>(), followerLeaseRenewal.takeRenewed(100))
+        assertTrue(followerLeaseRenewal.isNew(heartbeat(2, 1)))
+        assertFalse(followerLeaseRenewal.isNew(heartbeat(1, 11)))
+    }
+
+    @Test
+    fun `malformed heartbeats are refused`() {
+        val good =
+            mapOf(
+                "host" to "m",
+                "hosttype" to "t",
+                "hall" to "z",
+                "shift" to 1L,
+                "counter" to 1L,
+                "warrant" to 0L,
+                "pieces" to emptyList<Any>(),
+            )
+        assertEquals(MachineName("m"), Heartbeat.parse(Documents.writeCbor(good)).machineName)
+        for (
+        bad in listOf(
+            "host" to "",
+            "host" to null,
+            "shift" to "1",
+            "pieces" to listOf(mapOf("piece" to "x")),
+            "pieces" to 3L,
+            "warrant" to 1.5,
+        )
+        ) {
+            assertThrows(MalformedMessageException::class.java, { Heartbeat.parse(Documents.writeCbor(good + bad)) }, "$bad")
+        }
+    }
+}
--- a/src/test/kotlin/umberslip/admission/FeasibilityTest.kt
+++ b/src/test/kotlin/umberslip/api/FeasibilityTest.kt
@@ -1,11 +1,12 @@
-package umberslip.admission
+package umberslip.api
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Test
-import umberslip.records.Shape
+import umberslip.core.JobSpec
+import umberslip.core.Shape
 import umberslip.settings.TeamSettings
-import umberslip.sim.Samples
-import umberslip.sim.WorldSize
+import umberslip.sim.ClusterSize
+import umberslip.sim.Fixtures
 import kotlin.random.Random
 
 class FeasibilityTest {
@@ -15,13 +16,13 @@
             TeamSettings("green", 0.0, 0.0, null, null),
         ).associateBy { it.name }
     private val job =
-        Samples.job(Random(1), 1).copy(team = "blue", types = null, zone = null, cpus = 4.0, memoryGb = 4.0, tasks = 10)
+        Fixtures.job(Random(1), 1).copy(team = "blue", instanceTypes = null, zone = null, cpus = 4.0, memoryGb = 4.0, tasks = 10)
 
-    private fun objection(spec: umberslip.records.JobSpec) =
+    private fun objection(spec: JobSpec) =
         Feasibility.objection(
             spec,
             teams,
-            WorldSize.SMALL,
+            ClusterSize.SMALL,
             listOf("east", "west"),
         )
 
@@ -34,7 +35,7 @@
         assertEquals("needs more than the team's limit", objection(job.copy(shape = Shape.DAEMON, tasks = 7)))
         assertEquals(
             "a task fits no allowed machine type",
-            objection(job.copy(types = listOf("small"), memoryGb = 17.0)),
+            objection(job.copy(instanceTypes = listOf("small"), memoryGb = 17.0)),
         )
         assertEquals("a task fits no allowed machine type", objection(job.copy(gpus = 1.0)))
         assertEquals("no such zone", objection(job.copy(zone = "north")))
--- a/src/test/kotlin/umberslip/admission/RequestsTest.kt
+++ b/src/test/kotlin/umberslip/api/JobApiTest.kt
@@ -1,41 +1,42 @@
-package umberslip.admission
+package umberslip.api
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
+import umberslip.core.JobId
+import umberslip.core.JobSpec
+import umberslip.core.Shape
 import umberslip.http.Response
-import umberslip.records.JobId
-import umberslip.records.JobSpec
-import umberslip.records.Shape
+import umberslip.records.toMap
+import umberslip.sim.ClusterSize
+import umberslip.sim.Fixtures
 import umberslip.sim.Mischief
-import umberslip.sim.Samples
-import umberslip.sim.World
-import umberslip.sim.WorldSize
+import umberslip.sim.SimulatedCluster
 import kotlin.random.Random
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
 /** What users get for odd requests, from the actual controllers. */
-class RequestsTest {
-    private val world =
-        World(1, Mischief(0.0, 0.0), WorldSize(3), Samples::settingsJson).also { world ->
-            for (i in 0..2) world.startController(i)
-            world.run(8.seconds)
+class JobApiTest {
+    private val cluster =
+        SimulatedCluster(1, Mischief(0.0, 0.0), ClusterSize(3), Fixtures::settingsJson).also { cluster ->
+            for (i in 0..2) cluster.startController(i)
+            cluster.run(8.seconds)
         }
 
     private fun job(
         number: Int,
         change: (JobSpec) -> JobSpec = { it },
     ) = change(
-        Samples.job(Random(number), number).copy(
+        Fixtures.job(Random(number), number).copy(
             team = "green",
-            types = null,
+            instanceTypes = null,
             zone = null,
             cpus = 1.0,
             memoryGb = 1.0,
             tasks = 2,
             expectedSeconds = 3.0,
-            dueSeconds = null,
+            deadlineSeconds = null,
         ),
     )
 
@@ -44,19 +45,19 @@
         change: Map<String, Any?> = emptyMap(),
         at: Int = 0,
     ): Response {
-        world.upload(spec)
-        return world.ask(at, "POST", "/api/jobs", spec.toMap() + change)
+        cluster.upload(spec)
+        return cluster.ask(at, "POST", "/api/jobs", spec.toMap() + change)
     }
 
     private fun status(
         spec: JobSpec,
         at: Int = 0,
-    ) = statusOf(world.ask(at, "GET", "/api/jobs/${spec.id.value}", null))
+    ) = statusOf(cluster.ask(at, "GET", "/api/jobs/${spec.id.value}", null))
 
     private fun cancel(
         spec: JobSpec,
         at: Int = 0,
-    ) = statusOf(world.ask(at, "POST", "/api/jobs/${spec.id.value}/cancel", null))
+    ) = statusOf(cluster.ask(at, "POST", "/api/jobs/${spec.id.value}/cancel", null))
 
     private fun statusOf(response: Response) = response.status to (response.body as Map<*, *>)["status"]
 
@@ -75,7 +76,7 @@
         ) {
             assertEquals(400, submit(good, mapOf(field to bad)).status, "$field $bad")
         }
-        assertEquals(400, world.ask(0, "POST", "/api/jobs", listOf(1)).status)
+        assertEquals(400, cluster.ask(0, "POST", "/api/jobs", listOf(1)).status)
         assertEquals(404 to null, status(good), "nothing was accepted")
         assertEquals(422, submit(good.copy(memoryGb = 999.0)).status)
         assertEquals(422, submit(good.copy(memoryGb = 999.0), at = 1).status, "nor at a retry")
@@ -93,7 +94,7 @@
         ) {
             assertEquals(200, submit(good, change, at = 2).status, "a known job, whatever else is said")
         }
-        world.run(60.seconds)
+        cluster.run(60.seconds)
         assertEquals(200 to "done", status(good, 1))
         assertEquals(200 to "done", cancel(good, 2))
         assertEquals(200 to "done", status(good))
@@ -124,7 +125,7 @@
         // Cancelled with the first, from every controller at once, and so is what comes later.
         assertEquals(200 to "aborted", cancel(first, 2))
         for (i in 0..2) assertEquals(200 to "aborted", status(other, i))
-        val late = job(4) { it.copy(awaits = listOf(other.id)) }
+        val late = job(4) { it.copy(dependencies = listOf(other.id)) }
         val accepted = submit(late)
         assertEquals(
             201 to "aborted",
@@ -133,31 +134,31 @@
         )
         for (i in 0..2) assertEquals(200 to "aborted", status(late, i))
         assertEquals(200 to "aborted", cancel(late))
-        world.run(20.seconds)
+        cluster.run(20.seconds)
         for (i in 0..2) assertEquals(200 to "aborted", status(other, i), "and stays so once its end is written")
-        assertEquals("aborted", (world.state.get("end/${late.id.value}")?.data as Map<*, *>)["status"])
+        assertEquals("aborted", (cluster.store.get("end/${late.id.value}")?.data as Map<*, *>)["status"])
         // What is done is no hindrance, and a cancellation that is answered with done ends nothing.
         val done = job(5)
         submit(done)
-        world.run(60.seconds)
+        cluster.run(60.seconds)
         assertEquals(200 to "done", cancel(done))
-        val after = job(6) { it.copy(awaits = listOf(done.id, JobId("run-000005"))) }
+        val after = job(6) { it.copy(dependencies = listOf(done.id, JobId("run-000005"))) }
         assertEquals(201, submit(after, at = 2).status)
-        world.run(60.seconds)
+        cluster.run(60.seconds)
         assertEquals(200 to "done", status(after))
     }
 
     @Test
-    fun `while the state service is away nothing is decided`() {
+    fun `while the key-value store is away nothing is decided`() {
         val first = job(1)
         submit(first)
-        world.state.out = true
-        world.run(2.seconds)
+        cluster.store.out = true
+        cluster.run(2.seconds)
         for (
         answer in listOf(
             submit(job(2), mapOf("awaits" to listOf(first.id.value))),
             submit(job(3)),
-            world.ask(0, "GET", "/api/jobs/run-000009", null),
+            cluster.ask(0, "GET", "/api/jobs/run-000009", null),
         )
         ) {
             assertEquals(503, answer.status)
@@ -171,14 +172,14 @@
         for (readUnderWay in 0..24) {
             val spec = job(40 + readUnderWay) { it.copy(expectedSeconds = 300.0) }
             assertEquals(201, submit(spec).status)
-            world.run(1.seconds)
-            val question = world.send(0, "GET", "/api/jobs/${spec.id.value}")
-            world.run(readUnderWay.milliseconds)
+            cluster.run(1.seconds)
+            val question = cluster.send(0, "GET", "/api/jobs/${spec.id.value}")
+            cluster.run(readUnderWay.milliseconds)
             if (question.isCompleted) continue
             asked++
-            world.freeze(0, 30.seconds)
+            cluster.freeze(0, 30.seconds)
             assertEquals(200 to "aborted", cancel(spec, at = 1))
-            world.run(40.seconds)
+            cluster.run(40.seconds)
             val answer = question.getCompleted()
             assertTrue(answer.status == 503 || statusOf(answer) == 200 to "aborted", "${answer.status} ${answer.body}")
         }
--- a/src/test/kotlin/umberslip/compatibility/FormatCompatibilityTest.kt
+++ b/src/test/kotlin/umberslip/compatibility/FormatCompatibilityTest.kt
@@ -7,25 +7,25 @@
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.ValueSource
-import umberslip.cloud.HostName
+import umberslip.core.JobId
+import umberslip.core.JobSpec
+import umberslip.core.MachineName
+import umberslip.core.Priority
+import umberslip.core.Shape
+import umberslip.core.Term
 import umberslip.http.Documents
 import umberslip.peers.PeerFrame
-import umberslip.records.ChunkRecord
-import umberslip.records.End
-import umberslip.records.EndRecord
-import umberslip.records.Ended
-import umberslip.records.HostsRecord
-import umberslip.records.JobId
+import umberslip.records.JobOutcome
 import umberslip.records.JobRecord
-import umberslip.records.JobSpec
+import umberslip.records.LeaderRecord
 import umberslip.records.LogRecord
 import umberslip.records.LogRow
-import umberslip.records.OwnerRecord
+import umberslip.records.LoggedExit
+import umberslip.records.MachineSetRecord
+import umberslip.records.OutcomeRecord
 import umberslip.records.Placement
-import umberslip.records.Shape
-import umberslip.records.Term
-import umberslip.records.Urgency
-import umberslip.state.Lease
+import umberslip.records.ProgressRecord
+import umberslip.store.StoreLease
 import java.time.Instant
 import java.util.BitSet
 
@@ -43,33 +43,33 @@
             jobClass = "train",
             team = "vision",
             shape = Shape.GANG,
-            urgency = Urgency.HIGH,
+            priority = Priority.HIGH,
             tasks = 16,
             cpus = 8.0,
             gpus = 1.0,
             memoryGb = 64.5,
             image = "img-07",
             imageGb = 6.2,
-            types = listOf("g8"),
+            instanceTypes = listOf("g8"),
             zone = null,
             oneZone = true,
             spread = false,
             spot = true,
             expectedSeconds = 240.0,
-            checkpointSeconds = 30.0,
-            savingSeconds = 4.0,
-            dueSeconds = 900.0,
+            checkpointIntervalSeconds = 30.0,
+            checkpointSaveSeconds = 4.0,
+            deadlineSeconds = 900.0,
         )
     private val plainArray = gang.copy(id = JobId("run-000413"), shape = Shape.ARRAY)
-    private val awaitingArray = plainArray.copy(awaits = listOf(JobId("run-000398"), JobId("run-000405")))
+    private val awaitingArray = plainArray.copy(dependencies = listOf(JobId("run-000398"), JobId("run-000405")))
 
-    private val chunk =
-        ChunkRecord(
+    private val block =
+        ProgressRecord(
             done = BitSet().apply { listOf(0, 9, 17).forEach(::set) },
             placed =
                 listOf(
-                    Placement(3, 2, HostName("host-000231")),
-                    Placement(15, 1L shl 33, HostName("host-000232")),
+                    Placement(3, 2, MachineName("host-000231")),
+                    Placement(15, 1L shl 33, MachineName("host-000232")),
                 ),
             lastAttempt = 1L shl 33,
             seq = (4L shl 32) + 7,
@@ -81,8 +81,8 @@
                 mapOf(
                     gang.id to
                         LogRow(
-                            starts = listOf(Placement(4, 3, HostName("host-000233"))),
-                            ends = listOf(Ended(3, 2, true), Ended(5, 1, false)),
+                            starts = listOf(Placement(4, 3, MachineName("host-000233"))),
+                            ends = listOf(LoggedExit(3, 2, true), LoggedExit(5, 1, false)),
                         ),
                 ),
         )
@@ -106,16 +106,16 @@
         mapOf(
             "job" to Sample(JobRecord(gang, submitted, false), JobRecord::parse, JobRecord::toMap),
             "job-cancelled" to Sample(JobRecord(gang, submitted, true), JobRecord::parse, JobRecord::toMap),
-            "chunk" to Sample(chunk, ChunkRecord::parse, ChunkRecord::toMap),
+            "chunk" to Sample(block, ProgressRecord::parse, ProgressRecord::toMap),
             "log" to Sample(logEntry, LogRecord::parse, LogRecord::toMap),
-            "owner" to Sample(OwnerRecord("solm-1", Term(4), Lease(9)), OwnerRecord::parse, OwnerRecord::toMap),
-            "end-done" to Sample(EndRecord(End.DONE, 16), EndRecord::parse, EndRecord::toMap),
-            "end-cancelled" to Sample(EndRecord(End.CANCELLED, 16), EndRecord::parse, EndRecord::toMap),
+            "owner" to Sample(LeaderRecord("solm-1", Term(4), StoreLease(9)), LeaderRecord::parse, LeaderRecord::toMap),
+            "end-done" to Sample(OutcomeRecord(JobOutcome.DONE, 16), OutcomeRecord::parse, OutcomeRecord::toMap),
+            "end-cancelled" to Sample(OutcomeRecord(JobOutcome.CANCELLED, 16), OutcomeRecord::parse, OutcomeRecord::toMap),
             "hosts" to
                 Sample(
-                    HostsRecord(linkedSetOf(HostName("host-000231"), HostName("host-000232"))),
-                    HostsRecord::parse,
-                    HostsRecord::toMap,
+                    MachineSetRecord(linkedSetOf(MachineName("host-000231"), MachineName("host-000232"))),
+                    MachineSetRecord::parse,
+                    MachineSetRecord::toMap,
                 ),
         )
 
--- a/src/test/kotlin/umberslip/http/DocumentsTest.kt
+++ b/src/test/kotlin/umberslip/http/DocumentsTest.kt
@@ -41,7 +41,7 @@
             checkAll(fixed, Arb.byteArray(Arb.int(0..60), Arb.byte())) {
                 try {
                     Documents.readCbor(it)
-                } catch (e: Malformed) {
+                } catch (e: MalformedMessageException) {
                     malformed++
                 }
             }
@@ -52,19 +52,19 @@
     fun `a cut document is malformed`() =
         runBlocking<Unit> {
             checkAll(fixed, document.map { Documents.writeCbor(it) }) { bytes ->
-                assertThrows(Malformed::class.java) { Documents.readCbor(bytes.copyOf(bytes.size - 1)) }
+                assertThrows(MalformedMessageException::class.java) { Documents.readCbor(bytes.copyOf(bytes.size - 1)) }
             }
         }
 
     @Test
     fun `complaints name the field`() {
         val f = Fields.of(mapOf("a" to mapOf("b" to "text", "n" to 1.5, "huge" to Double.NaN)))
-        assertEquals("a.c is missing", assertThrows(Malformed::class.java) { f.map("a").text("c") }.message)
-        assertEquals("a.b is not a number", assertThrows(Malformed::class.java) { f.map("a").number("b") }.message)
-        assertEquals("a.n is not a whole number", assertThrows(Malformed::class.java) { f.map("a").long("n") }.message)
+        assertEquals("a.c is missing", assertThrows(MalformedMessageException::class.java) { f.map("a").text("c") }.message)
+        assertEquals("a.b is not a number", assertThrows(MalformedMessageException::class.java) { f.map("a").number("b") }.message)
+        assertEquals("a.n is not a whole number", assertThrows(MalformedMessageException::class.java) { f.map("a").long("n") }.message)
         assertEquals(
             "a.huge is not a finite number",
-            assertThrows(Malformed::class.java) { f.map("a").number("huge") }.message,
+            assertThrows(MalformedMessageException::class.java) { f.map("a").number("huge") }.message,
         )
     }
 }
--- a/src/test/kotlin/umberslip/http/HttpTest.kt
+++ b/src/test/kotlin/umberslip/http/HttpTest.kt
@@ -59,7 +59,7 @@
             }
         val late = HttpClient(group, server.localAddress() as InetSocketAddress, 1 shl 20, standstill)
         val before = served.get()
-        assertThrows<Unavailable> {
+        assertThrows<ServiceUnavailableException> {
             runBlocking { late.call(HttpMethod.POST, "/echo", mapOf("say" to "late"), 20.seconds) }
         }
         assertEquals("now", call("/echo", mapOf("say" to "now")).fields().text("got"))
--- a/src/test/kotlin/umberslip/ownership/AuthorityTest.kt
+++ b/src/test/kotlin/umberslip/leadership/LeaderLeaseTest.kt
@@ -1,4 +1,4 @@
-package umberslip.ownership
+package umberslip.leaderElection
 
 import io.kotest.property.Arb
 import io.kotest.property.PropTestConfig
@@ -9,19 +9,19 @@
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
+import umberslip.core.Term
 import umberslip.peers.PeerHealth
-import umberslip.records.Term
 import umberslip.settings.Settings
 import umberslip.settings.Timings
 import umberslip.settings.Tuning
-import umberslip.sim.Samples
-import umberslip.state.Lease
-import umberslip.state.Version
+import umberslip.sim.Fixtures
+import umberslip.store.StoreLease
+import umberslip.store.Version
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-class AuthorityTest {
-    private val workers = Settings.parse(Samples.settingsJson("c-0")).workers
+class LeaderLeaseTest {
+    private val workers = Settings.parse(Fixtures.settingsJson("c-0")).workers
     private val timings = Timings(workers, Tuning())
 
     @Test
@@ -33,13 +33,13 @@
                 Arb.int(0..60_000),
                 Arb.int(0..90_000),
             ) { renewed, read, now ->
-                val a = Authority(timings)
-                a.won(Term(1), Version(1), Lease(1), 0.seconds)
+                val a = LeaderLease(timings)
+                a.acquired(Term.FIRST, Version(1), StoreLease(1), 0.seconds)
                 a.renewed(renewed.milliseconds)
                 a.read(read.milliseconds)
                 val at = now.milliseconds
                 assertEquals(
-                    at < minOf(renewed, read).milliseconds + timings.ownerLease - timings.margin,
+                    at < minOf(renewed, read).milliseconds + timings.leaderLeaseDuration - timings.margin,
                     a.mayStart(at),
                 )
                 if (a.mayAnswer(at)) {
@@ -51,26 +51,26 @@
         }
 
     @Test
-    fun `nothing is allowed once ownership is lost`() {
-        val a = Authority(timings)
+    fun `nothing is allowed once leadership is lost`() {
+        val a = LeaderLease(timings)
         assertFalse(a.mayAnswer(0.seconds))
-        a.won(Term(1), Version(1), Lease(1), 0.seconds)
+        a.acquired(Term.FIRST, Version(1), StoreLease(1), 0.seconds)
         assertTrue(a.mayStart(1.seconds))
-        a.outranked()
+        a.superseded()
         assertFalse(a.mayStart(1.seconds) || a.mayAnswer(1.seconds))
     }
 
     @Test
     fun `an outage for all is not taken for one of its own`() {
         // Found on a day of half as many machines again: the last good word of the others, heard at the
-        // beginning of an outage, made the owner leave its workers, and none could follow it.
-        val a = Authority(timings)
-        a.won(Term(1), Version(1), Lease(1), 0.seconds)
+        // beginning of an outage, made the leader leave its workers, and none could follow it.
+        val a = LeaderLease(timings)
+        a.acquired(Term.FIRST, Version(1), StoreLease(1), 0.seconds)
 
         fun after(
             seconds: Double,
             peerHealth: PeerHealth,
-        ) = a.servesOthersOnly(seconds.seconds, peerHealth)
+        ) = a.storeServesOthersOnly(seconds.seconds, peerHealth)
         assertFalse(after(2.0, PeerHealth.SERVED), "within its own hold")
         assertFalse(after(3.1, PeerHealth.SERVED))
         assertFalse(after(4.4, PeerHealth.AWAY))
--- a/src/test/kotlin/umberslip/loopback/FullRestartTest.kt
+++ b/src/test/kotlin/umberslip/loopback/FullRestartTest.kt
@@ -17,26 +17,26 @@
     @TempDir
     lateinit var directory: Path
 
-    private fun scene(): RestartScene {
+    private fun scenario(): RestartScenario {
         val tuning = directory.resolve("recovery.toml")
         Files.writeString(tuning, "[recovery]\ntrack = true\nreturn_missing = true\n")
         val size = SceneSize(machines = 10, jobs = 4, tasksPerJob = 30, taskSeconds = 16.0)
-        return RestartScene(size, directory, listOf("--tuning", tuning.toString()))
+        return RestartScenario(size, directory, listOf("--tuning", tuning.toString()))
     }
 
     /** Submits everything and waits until much of it runs. */
-    private fun RestartScene.fill() {
+    private fun RestartScenario.fill() {
         submitAll()
         awaitUntil("$MANY tasks run") { workers.running() >= MANY }
     }
 
-    private fun RestartScene.awaitJobs() = awaitUntil("every job is done") { jobs.all { status(it) == "done" } }
+    private fun RestartScenario.awaitJobs() = awaitUntil("every job is done") { jobs.all { status(it) == "done" } }
 
     /** No task ran on two machines, after its end was recorded, or a second time unless it may have. */
-    private fun RestartScene.checkRuns(mayRunAgain: Set<String> = emptySet()) {
+    private fun RestartScenario.checkRuns(mayRunAgain: Set<String> = emptySet()) {
         val events = workers.events()
         val began = events.filterIsInstance<WorkerEvent.Began>()
-        assertEquals(0, events.count { it is WorkerEvent.LeaseOver }, "leases are long enough for any machine")
+        assertEquals(0, events.count { it is WorkerEvent.LeaseExpired }, "leases are long enough for any machine")
         assertEquals(emptyList<WorkerEvent>(), began.filter { it.machinesAtOnce > 1 }, "on two machines at once")
         assertEquals(emptyList<WorkerEvent>(), began.filter { it.wasFinished }, "its end was recorded")
         val runs = began.groupingBy { it.task }.eachCount()
@@ -47,70 +47,70 @@
 
     @Test
     fun `running tasks are adopted, also of workers that stay silent until after the first decisions`() {
-        scene().use { scene ->
-            scene.fill()
-            scene.controllers.killAll()
-            val fell = scene.workers.now()
-            val silent = scene.workers.names().take(2)
-            val theirs = scene.workers.tasksOn(silent)
+        scenario().use { scenario ->
+            scenario.fill()
+            scenario.controllers.killAll()
+            val fell = scenario.workers.now()
+            val silent = scenario.workers.names().take(2)
+            val theirs = scenario.workers.tasksOn(silent)
             assertTrue(theirs.isNotEmpty(), "the silent workers have tasks")
-            scene.workers.silence(silent, 3600.seconds)
-            scene.awaitUntil("nobody owns") { scene.recovery().exitCode == RecoveryStatus.NO_OWNER.exitCode }
+            scenario.workers.silence(silent, 3600.seconds)
+            scenario.awaitUntil("nobody owns") { scenario.recovery().exitCode == RecoveryStatus.NO_OWNER.exitCode }
             val atTheFall = directory.resolve("fall.zst")
-            scene.saveRecords(atTheFall)
-            scene.controllers.startAll()
-            scene.awaitUntil("the others are adopted") { scene.recovery().owner()?.long("unheard_machines") == 2L }
-            assertEquals("recovering", scene.recovery().status)
-            scene.awaitUntil("new work starts") {
-                scene.workers.events().any { it is WorkerEvent.Began && it.at > fell }
+            scenario.saveRecords(atTheFall)
+            scenario.controllers.startAll()
+            scenario.awaitUntil("the others are adopted") { scenario.recovery().leader()?.long("unheard_machines") == 2L }
+            assertEquals("recovering", scenario.recovery().status)
+            scenario.awaitUntil("new work starts") {
+                scenario.workers.events().any { it is WorkerEvent.Began && it.at > fell }
             }
-            scene.workers.silence(silent, 0.seconds)
-            scene.awaitUntil("settled") { scene.recovery().exitCode == RecoveryStatus.SETTLED.exitCode }
-            val recovery = scene.recovery()
+            scenario.workers.silence(silent, 0.seconds)
+            scenario.awaitUntil("settled") { scenario.recovery().exitCode == RecoveryStatus.SETTLED.exitCode }
+            val recovery = scenario.recovery()
             val accounted =
                 listOf("adopted", "end_unrecorded", "not_reported", "not_reported_cancelled").sumOf(recovery::finding)
-            assertEquals(recovery.owner()?.long("recorded_tasks"), accounted, "every recorded start is accounted for")
-            assertEquals(0L, recovery.owner()?.long("lost_tasks"))
+            assertEquals(recovery.leader()?.long("recorded_tasks"), accounted, "every recorded start is accounted for")
+            assertEquals(0L, recovery.leader()?.long("lost_tasks"))
             assertTrue(accounted >= theirs.size)
             val settled = directory.resolve("settled.zst")
-            scene.saveRecords(settled)
-            val change = scene.compareRecords(atTheFall, settled)
+            scenario.saveRecords(settled)
+            val change = scenario.compareRecords(atTheFall, settled)
             assertEquals(emptyList<String>(), change.textsOrNull("started_again"))
-            assertEquals(recovery.owner()?.long("recorded_tasks"), change.map("tasks").run { COUNTED.sumOf(::long) })
-            scene.awaitJobs()
-            scene.checkRuns()
+            assertEquals(recovery.leader()?.long("recorded_tasks"), change.map("tasks").run { COUNTED.sumOf(::long) })
+            scenario.awaitJobs()
+            scenario.checkRuns()
         }
     }
 
     @Test
     fun `controllers that fall again within the recovery, and come back one by one, start nothing twice`() {
-        scene().use { scene ->
-            scene.fill()
+        scenario().use { scenario ->
+            scenario.fill()
             repeat(3) { round ->
-                scene.controllers.killAll()
-                scene.controllers.start(round)
-                scene.awaitUntil("controller $round owns") { scene.recovery().owner() != null }
+                scenario.controllers.killAll()
+                scenario.controllers.start(round)
+                scenario.awaitUntil("controller $round owns") { scenario.recovery().leader() != null }
             }
-            scene.controllers.start(0)
-            scene.awaitJobs()
-            scene.checkRuns()
+            scenario.controllers.start(0)
+            scenario.awaitJobs()
+            scenario.checkRuns()
         }
     }
 
     @Test
     fun `tasks of machines taken back in the dark start again, and no others do`() {
-        scene().use { scene ->
-            scene.fill()
-            scene.controllers.killAll()
-            val machines = scene.workers.names()
+        scenario().use { scenario ->
+            scenario.fill()
+            scenario.controllers.killAll()
+            val machines = scenario.workers.names()
             val taken = machines.take(machines.size * 2 / 3)
-            val lost = scene.workers.tasksOn(taken)
+            val lost = scenario.workers.tasksOn(taken)
             assertTrue(lost.isNotEmpty(), "tasks are lost")
-            scene.cloud.takeBack(taken)
-            scene.controllers.startAll()
-            scene.awaitUntil("settled") { scene.recovery().exitCode == RecoveryStatus.SETTLED.exitCode }
-            scene.awaitJobs()
-            scene.checkRuns(mayRunAgain = lost)
+            scenario.cloud.takeBack(taken)
+            scenario.controllers.startAll()
+            scenario.awaitUntil("settled") { scenario.recovery().exitCode == RecoveryStatus.SETTLED.exitCode }
+            scenario.awaitJobs()
+            scenario.checkRuns(mayRunAgain = lost)
         }
     }
 
--- a/src/test/kotlin/umberslip/loopback/LoopbackCloud.kt
+++ b/src/test/kotlin/umberslip/loopback/LoopbackCloud.kt
@@ -1,9 +1,10 @@
 package umberslip.loopback
 
-import umberslip.cloud.HostName
+import umberslip.cloud.InstanceType
 import umberslip.cloud.Offer
+import umberslip.core.MachineName
 import umberslip.http.Fields
-import umberslip.sim.WorldSize
+import umberslip.sim.ClusterSize
 import kotlin.time.Duration
 import kotlin.time.DurationUnit
 import kotlin.time.TimeSource
@@ -12,11 +13,11 @@
 class LoopbackCloud(
     private val capacity: Int,
     private val listLag: Duration,
-    private val boot: (HostName, Offer) -> Unit,
-    private val halt: (HostName) -> Unit,
+    private val boot: (MachineName, Offer) -> Unit,
+    private val halt: (MachineName) -> Unit,
 ) : AutoCloseable {
     private class Rented(
-        val name: HostName,
+        val name: MachineName,
         val offer: Offer,
         val since: Duration,
     ) {
@@ -24,7 +25,7 @@
     }
 
     private val origin = TimeSource.Monotonic.markNow()
-    private val rented = LinkedHashMap<HostName, Rented>()
+    private val rented = LinkedHashMap<MachineName, Rented>()
     private val answered = HashMap<String, List<String>>()
     private val server = CborServer { synchronized(this) { answer(it) } }
 
@@ -36,18 +37,18 @@
     fun now(): Duration = origin.elapsedNow()
 
     /** Takes machines back with no notice. */
-    fun takeBack(hosts: Collection<HostName>) = synchronized(this) { hosts.forEach(::end) }
+    fun takeBack(machineNames: Collection<MachineName>) = synchronized(this) { machineNames.forEach(::end) }
 
-    private fun end(host: HostName) {
-        val machine = rented[host] ?: return
+    private fun end(machineName: MachineName) {
+        val machine = rented[machineName] ?: return
         if (machine.goneAt != null) return
         machine.goneAt = now()
-        halt(host)
+        halt(machineName)
     }
 
     private fun answer(request: CborRequest): CborAnswer =
         when {
-            request.path == "/flavors" -> CborAnswer(200, mapOf("hosttypes" to WorldSize.SMALL.map(::flavor)))
+            request.path == "/flavors" -> CborAnswer(200, mapOf("hosttypes" to ClusterSize.SMALL.map(::instanceType)))
             request.path == "/rentals" && request.method == "GET" -> list()
             request.path == "/rentals" -> rent(request.fields())
             request.path == "/rentals/release" -> {
@@ -55,13 +56,13 @@
                     .fields()
                     .textsOrNull("hosts")
                     .orEmpty()
-                    .forEach { end(HostName(it)) }
+                    .forEach { end(MachineName(it)) }
                 CborAnswer(200, emptyMap<String, Any?>())
             }
             else -> CborAnswer(404, mapOf("error" to "no such path"))
         }
 
-    private fun flavor(it: umberslip.cloud.Flavor) =
+    private fun instanceType(it: InstanceType) =
         mapOf(
             "label" to it.label,
             "vcpus" to it.cpus,
@@ -77,10 +78,10 @@
         val request = fields.text("hire")
         answered[request]?.let { return CborAnswer(200, mapOf("hosts" to it)) }
         val offer = Offer(fields.text("hosttype"), fields.text("hall"), fields.flag("reclaimable"))
-        val room = capacity - rented.values.count { it.goneAt == null }
-        val number = minOf(fields.long("number").toInt(), room)
+        val resources = capacity - rented.values.count { it.goneAt == null }
+        val number = minOf(fields.long("number").toInt(), resources)
         if (number <= 0) return CborAnswer(503, mapOf("error" to "no capacity"))
-        val names = List(number) { HostName("host-%06d".format(rented.size + it)) }
+        val names = List(number) { MachineName("host-%06d".format(rented.size + it)) }
         for (name in names) {
             rented[name] = Rented(name, offer, now())
             boot(name, offer)
@@ -91,7 +92,7 @@
     private fun list(): CborAnswer {
         val asOf = now() - listLag
         val listed = rented.values.filter { it.since <= asOf && it.goneAt.let { gone -> gone == null || gone > asOf } }
-        val hosts =
+        val machineNames =
             listed.map {
                 mapOf(
                     "uid" to it.name.value,
@@ -103,7 +104,7 @@
                     "age_s" to (asOf - it.since).toDouble(DurationUnit.SECONDS),
                 )
             }
-        return CborAnswer(200, mapOf("hosts" to hosts, "has_next" to false))
+        return CborAnswer(200, mapOf("hosts" to machineNames, "has_next" to false))
     }
 
     override fun close() = server.close()
--- a/src/test/kotlin/umberslip/loopback/LoopbackStateService.kt
+++ b/src/test/kotlin/umberslip/loopback/LoopbackKeyValueStore.kt
@@ -1,22 +1,22 @@
 package umberslip.loopback
 
 import umberslip.http.Fields
-import umberslip.sim.StoredState
-import umberslip.sim.WorldSize
-import umberslip.state.Change
-import umberslip.state.Entry
-import umberslip.state.Guard
-import umberslip.state.Lease
-import umberslip.state.TxnResult
-import umberslip.state.Version
-import umberslip.state.Write
+import umberslip.sim.ClusterSize
+import umberslip.sim.InMemoryKeyValueStore
+import umberslip.store.Change
+import umberslip.store.Entry
+import umberslip.store.Precondition
+import umberslip.store.StoreLease
+import umberslip.store.TransactionResult
+import umberslip.store.Version
+import umberslip.store.Write
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.TimeSource
 
-/** The state service's published protocol over real sockets; what it keeps outlives all controllers. */
-class LoopbackStateService : AutoCloseable {
+/** The key-value store's published protocol over real sockets; what it keeps outlives all controllers. */
+class LoopbackKeyValueStore : AutoCloseable {
     private val origin = TimeSource.Monotonic.markNow()
-    private val stored = StoredState(WorldSize(0, pageItems = 500, changesKept = 10_000)) { origin.elapsedNow() }
+    private val stored = InMemoryKeyValueStore(ClusterSize(0, pageItems = 500, changesKept = 10_000)) { origin.elapsedNow() }
     private val server = CborServer(::answer)
 
     val address get() = server.address
@@ -65,14 +65,14 @@
     }
 
     private fun commit(fields: Fields): CborAnswer {
-        val guards = fields.maps("guards").map { Guard(it.text("path"), Version(it.long("stamp"))) }
+        val preconditions = fields.maps("guards").map { Precondition(it.text("path"), Version(it.long("stamp"))) }
         val writes =
             fields.maps("writes").map {
                 val key = it.textOrNull("set")
                 if (key == null) {
                     Write.Drop(it.text("drop"))
                 } else {
-                    val lease = if (it.has("hold")) Lease(it.long("hold")) else null
+                    val lease = if (it.has("hold")) StoreLease(it.long("hold")) else null
                     val data =
                         it
                             .map("data")
@@ -82,11 +82,11 @@
                     Write.Put(key, data, lease)
                 }
             }
-        return when (val result = stored.txn(guards, writes)) {
-            is TxnResult.Applied -> CborAnswer(200, mapOf("epoch" to result.version.value))
-            is TxnResult.Refused -> CborAnswer(409, mapOf("failed" to result.failed, "epoch" to 0))
-            TxnResult.NoLease -> CborAnswer(400, mapOf("error" to "no such lease"))
-            is TxnResult.Rejected -> CborAnswer(400, mapOf("error" to result.why))
+        return when (val result = stored.compareAndSwap(preconditions, writes)) {
+            is TransactionResult.Applied -> CborAnswer(200, mapOf("epoch" to result.version.value))
+            is TransactionResult.PreconditionFailed -> CborAnswer(409, mapOf("failed" to result.failed, "epoch" to 0))
+            TransactionResult.LeaseExpired -> CborAnswer(400, mapOf("error" to "no such lease"))
+            is TransactionResult.Rejected -> CborAnswer(400, mapOf("error" to result.why))
         }
     }
 
@@ -105,7 +105,7 @@
             stored.end(id)
             return CborAnswer(200, emptyMap<String, Any?>())
         }
-        return CborAnswer(if (stored.renew(Lease(id))) 200 else 404, emptyMap<String, Any?>())
+        return CborAnswer(if (stored.renew(StoreLease(id))) 200 else 404, emptyMap<String, Any?>())
     }
 
     override fun close() = server.close()
--- a/src/test/kotlin/umberslip/loopback/LoopbackWorkers.kt
+++ b/src/test/kotlin/umberslip/loopback/LoopbackWorkers.kt
@@ -11,14 +11,14 @@
 import kotlinx.coroutines.launch
 import kotlinx.coroutines.runBlocking
 import kotlinx.coroutines.withContext
-import umberslip.cloud.HostName
 import umberslip.cloud.Offer
+import umberslip.core.JobSpec
+import umberslip.core.MachineName
 import umberslip.http.Fields
 import umberslip.http.HttpClient
-import umberslip.http.NoAnswer
+import umberslip.http.NoResponseException
 import umberslip.http.Reply
-import umberslip.http.Unavailable
-import umberslip.records.JobSpec
+import umberslip.http.ServiceUnavailableException
 import java.net.InetSocketAddress
 import java.util.concurrent.ConcurrentHashMap
 import kotlin.time.Duration
@@ -45,7 +45,7 @@
     ) : WorkerEvent
 
     /** Its lease ran out, and its tasks were killed. */
-    data class LeaseOver(
+    data class LeaseExpired(
         override val at: Duration,
         val tasks: Int,
     ) : WorkerEvent
@@ -54,7 +54,7 @@
 /** Workers that outlive the controllers; all of them in this process, each with its own sessions and leases. */
 class LoopbackWorkers(
     private val controllers: List<InetSocketAddress>,
-    private val reportEvery: Duration,
+    private val heartbeatInterval: Duration,
     private val lease: Duration,
 ) : AutoCloseable {
     private class Task(
@@ -65,12 +65,12 @@
     }
 
     private class Worker(
-        val name: HostName,
+        val name: MachineName,
         val offer: Offer,
     ) {
         var session = 1L
-        var counter = 0L
-        var token = 0L
+        var sequenceNumber = 0L
+        var fencingToken = 0L
         var lastAnswered = Duration.ZERO
         var target = 0
         var silentUntil = Duration.ZERO
@@ -83,7 +83,7 @@
     private val thread = group.next().asCoroutineDispatcher()
     private val scope = CoroutineScope(thread + SupervisorJob())
     private val clients = controllers.map { HttpClient(group, it, MAX_BODY) }
-    private val workers = LinkedHashMap<HostName, Worker>()
+    private val workers = LinkedHashMap<MachineName, Worker>()
     private val events = ArrayList<WorkerEvent>()
 
     /** Tasks whose end some controller has recorded, since it had the worker clear them. */
@@ -103,21 +103,21 @@
     fun running(): Int = look { workers.values.sumOf { w -> w.tasks.values.count { it.status == "running" } } }
 
     /** What runs, or has ended and is not cleared, on these machines. */
-    fun tasksOn(hosts: Collection<HostName>): Set<String> =
+    fun tasksOn(machineNames: Collection<MachineName>): Set<String> =
         look {
-            hosts.flatMapTo(HashSet()) { workers[it]?.tasks?.keys.orEmpty() }
+            machineNames.flatMapTo(HashSet()) { workers[it]?.tasks?.keys.orEmpty() }
         }
 
-    fun names(): List<HostName> = look { workers.values.filter { !it.gone }.map { it.name } }
+    fun names(): List<MachineName> = look { workers.values.filter { !it.gone }.map { it.name } }
 
     /** They run on, and report nothing for a while. */
     fun silence(
-        hosts: Collection<HostName>,
+        machineNames: Collection<MachineName>,
         time: Duration,
-    ) = look { hosts.forEach { workers[it]?.silentUntil = now() + time } }
+    ) = look { machineNames.forEach { workers[it]?.silentUntil = now() + time } }
 
     fun boot(
-        name: HostName,
+        name: MachineName,
         offer: Offer,
     ) {
         scope.launch {
@@ -127,13 +127,13 @@
             workers[name] = worker
             launch { run(worker) }
             while (!worker.gone) {
-                if (now() >= worker.silentUntil) report(worker)
-                delay(reportEvery)
+                if (now() >= worker.silentUntil) heartbeat(worker)
+                delay(heartbeatInterval)
             }
         }
     }
 
-    fun halt(name: HostName) {
+    fun halt(name: MachineName) {
         scope.launch {
             workers[name]?.let {
                 it.gone = true
@@ -149,37 +149,37 @@
                 .filter { it.status == "running" && it.endsAt <= now() }
                 .forEach { it.status = "ended" }
             if (now() - worker.lastAnswered <= lease) continue
-            events += WorkerEvent.LeaseOver(now(), worker.tasks.size)
+            events += WorkerEvent.LeaseExpired(now(), worker.tasks.size)
             worker.tasks.clear()
             worker.session++
             worker.lastAnswered = now()
         }
     }
 
-    private suspend fun report(worker: Worker) {
+    private suspend fun heartbeat(worker: Worker) {
         val sent = now()
         val session = worker.session
-        worker.counter++
-        val reply = post(worker) ?: return moveOn(worker, null)
-        if (reply.status != 200) return moveOn(worker, reply.fields().textOrNull("dispatcher"))
+        worker.sequenceNumber++
+        val reply = enqueue(worker) ?: return migrate(worker, null)
+        if (reply.status != 200) return migrate(worker, reply.fields().textOrNull("dispatcher"))
         if (worker.gone || worker.session != session || now() - sent > DROPPED_AFTER) return
         val fields = reply.fields()
-        if (fields.long("warrant") < worker.token) return
-        worker.token = fields.long("warrant")
+        if (fields.long("warrant") < worker.fencingToken) return
+        worker.fencingToken = fields.long("warrant")
         worker.lastAnswered = sent
         fields.maps("orders").forEach { carryOut(worker, it) }
     }
 
-    private suspend fun post(worker: Worker): Reply? =
+    private suspend fun enqueue(worker: Worker): Reply? =
         try {
             clients[worker.target].call(HttpMethod.POST, "/agent/beat", body(worker), DROPPED_AFTER)
-        } catch (_: Unavailable) {
+        } catch (_: ServiceUnavailableException) {
             null
-        } catch (_: NoAnswer) {
+        } catch (_: NoResponseException) {
             null
         }
 
-    private fun moveOn(
+    private fun migrate(
         worker: Worker,
         named: String?,
     ) {
@@ -195,8 +195,8 @@
             "hall" to worker.offer.zone,
             "reclaimable" to worker.offer.spot,
             "shift" to worker.session,
-            "counter" to worker.counter,
-            "warrant" to worker.token,
+            "counter" to worker.sequenceNumber,
+            "warrant" to worker.fencingToken,
             "pieces" to
                 worker.tasks.map { (name, task) ->
                     val cause = if (task.status == "ended") "done" else null
@@ -206,13 +206,13 @@
 
     private fun carryOut(
         worker: Worker,
-        order: Fields,
+        command: Fields,
     ) {
-        val name = order.text("piece")
-        val attempt = order.long("try")
+        val name = command.text("piece")
+        val attempt = command.long("try")
         val here = worker.tasks[name]
-        events += WorkerEvent.Ordered(now(), order.text("verb"), name)
-        when (order.text("verb")) {
+        events += WorkerEvent.Ordered(now(), command.text("verb"), name)
+        when (command.text("verb")) {
             "start" -> if (here == null) begin(worker, name, attempt)
             "stop" -> if (here?.attempt == attempt) worker.tasks.remove(name)
             "clear" ->
--- a/src/test/kotlin/umberslip/loopback/RestartMeasurement.kt
+++ b/src/test/kotlin/umberslip/loopback/RestartMeasurement.kt
@@ -27,7 +27,7 @@
             jobs,
             tasksPerJob,
             taskSeconds,
-            reportEvery = 1.seconds,
+            heartbeatInterval = 1.seconds,
             lease = 10.seconds,
             listLag = 4.seconds,
         )
@@ -39,31 +39,31 @@
  */
 fun main(arguments: Array<String>) {
     val plan = Plan(arguments)
-    RestartScene(plan.size, Files.createTempDirectory("restart"), plan.options).use { scene ->
-        scene.submitAll()
-        scene.awaitUntil("nearly all tasks run") { scene.workers.running() >= plan.jobs * plan.tasksPerJob * 95 / 100 }
-        reportSizes(scene)
-        val names = scene.workers.names().shuffled(Random(1))
-        scene.controllers.killAll()
-        val running = scene.workers.running()
-        val rentedBefore = scene.cloud.rentals().size
-        scene.cloud.takeBack(names.take(names.size * plan.takenPercent / 100))
+    RestartScenario(plan.size, Files.createTempDirectory("restart"), plan.options).use { scenario ->
+        scenario.submitAll()
+        scenario.awaitUntil("nearly all tasks run") { scenario.workers.running() >= plan.jobs * plan.tasksPerJob * 95 / 100 }
+        heartbeatSizes(scenario)
+        val names = scenario.workers.names().shuffled(Random(1))
+        scenario.controllers.killAll()
+        val running = scenario.workers.running()
+        val rentedBefore = scenario.cloud.rentals().size
+        scenario.cloud.takeBack(names.take(names.size * plan.takenPercent / 100))
         Thread.sleep(plan.darkSeconds * 1000L)
-        val back = scene.workers.now()
-        scene.controllers.startAll()
+        val back = scenario.workers.now()
+        scenario.controllers.startAll()
         Thread.sleep(110_000)
-        val owner = scene.recovery().owner()
+        val leader = scenario.recovery().leader()
         println("${names.size} machines, $running tasks ran, dark ${plan.darkSeconds} s, ${plan.takenPercent} % taken")
-        println("  options ${plan.options}; owner: ${owner?.raw()}")
-        report(scene.workers.events(), back)
-        println("  rented in 110 s: ${scene.cloud.rentals().size - rentedBefore}")
+        println("  options ${plan.options}; owner: ${leader?.raw()}")
+        heartbeat(scenario.workers.events(), back)
+        println("  rented in 110 s: ${scenario.cloud.rentals().size - rentedBefore}")
     }
 }
 
 /** What the records take as they are kept, and compressed as a checkpoint might be. */
-private fun reportSizes(scene: RestartScene) {
+private fun heartbeatSizes(scenario: RestartScenario) {
     val file = Files.createTempFile("records", ".zst")
-    scene.saveRecords(file)
+    scenario.saveRecords(file)
     val entries = ArchiveFile.read(file).entries
 
     fun bytes(prefix: String): Int =
@@ -74,18 +74,18 @@
     println("  all of them compressed: ${Files.size(file)} bytes")
 }
 
-private fun report(
+private fun heartbeat(
     events: List<WorkerEvent>,
     back: Duration,
 ) {
-    val orders = events.filterIsInstance<WorkerEvent.Ordered>().filter { it.at in back..back + 60.seconds }
+    val commands = events.filterIsInstance<WorkerEvent.Ordered>().filter { it.at in back..back + 60.seconds }
     val began = events.filterIsInstance<WorkerEvent.Began>()
-    val leasesOver = events.filterIsInstance<WorkerEvent.LeaseOver>()
-    println("  orders in the first minute: ${orders.groupingBy { it.verb }.eachCount()}")
-    println("  first order after ${orders.minOfOrNull { it.at }?.minus(back)}")
-    println("  first start after ${orders.filter { it.verb == "start" }.minOfOrNull { it.at }?.minus(back)}")
+    val leasesExpired = events.filterIsInstance<WorkerEvent.LeaseExpired>()
+    println("  orders in the first minute: ${commands.groupingBy { it.verb }.eachCount()}")
+    println("  first order after ${commands.minOfOrNull { it.at }?.minus(back)}")
+    println("  first start after ${commands.filter { it.verb == "start" }.minOfOrNull { it.at }?.minus(back)}")
     println("  on two machines at once: ${began.count { it.machinesAtOnce > 1 }}")
     println("  begun after their recorded end: ${began.count { it.wasFinished }}")
     println("  started more than once: ${began.groupingBy { it.task }.eachCount().count { it.value > 1 }}")
-    println("  leases that ran out: ${leasesOver.size} with ${leasesOver.sumOf { it.tasks }} tasks")
+    println("  leases that ran out: ${leasesExpired.size} with ${leasesExpired.sumOf { it.tasks }} tasks")
 }
--- a/src/test/kotlin/umberslip/loopback/RestartScene.kt
+++ b/src/test/kotlin/umberslip/loopback/RestartScenario.kt
@@ -6,14 +6,15 @@
 import kotlinx.coroutines.runBlocking
 import picocli.CommandLine
 import umberslip.cli.Umberslip
+import umberslip.core.JobSpec
+import umberslip.core.Priority
 import umberslip.http.Documents
 import umberslip.http.Fields
 import umberslip.http.HttpClient
-import umberslip.http.NoAnswer
-import umberslip.http.Unavailable
-import umberslip.records.JobSpec
-import umberslip.records.Urgency
-import umberslip.sim.Samples
+import umberslip.http.NoResponseException
+import umberslip.http.ServiceUnavailableException
+import umberslip.records.toMap
+import umberslip.sim.Fixtures
 import umberslip.toolbox.Toolbox
 import java.io.PrintWriter
 import java.io.StringWriter
@@ -31,7 +32,7 @@
     val jobs: Int,
     val tasksPerJob: Int,
     val taskSeconds: Double,
-    val reportEvery: Duration = 500.milliseconds,
+    val heartbeatInterval: Duration = 500.milliseconds,
     val lease: Duration = 60.seconds,
     val listLag: Duration = 1.seconds,
 )
@@ -43,46 +44,46 @@
 ) {
     val status: String get() = json.text("status")
 
-    /** What the owner of the highest term says; null where none answered. */
-    fun owner(): Fields? =
+    /** What the leader of the highest term says; null where none answered. */
+    fun leader(): Fields? =
         json
             .maps("controllers")
             .filter { it.has("recovery") }
             .map { it.map("recovery") }
             .maxByOrNull { it.long("term") }
 
-    fun finding(name: String): Long = owner()?.map("findings")?.takeIf { it.has(name) }?.long(name) ?: 0
+    fun finding(name: String): Long = leader()?.map("findings")?.takeIf { it.has(name) }?.long(name) ?: 0
 }
 
-/** Three controllers as processes, and around them workers, cloud and state service that outlive them all. */
-class RestartScene(
+/** Three controllers as processes, and around them workers, cloud and key-value store that outlive them all. */
+class RestartScenario(
     private val size: SceneSize,
     directory: Path,
     arguments: List<String> = emptyList(),
 ) : AutoCloseable {
-    private val state = LoopbackStateService()
+    private val store = LoopbackKeyValueStore()
 
     /** Set last: workers need the controllers' addresses, and the cloud boots workers only once it is asked to. */
     lateinit var workers: LoopbackWorkers
         private set
     val cloud: LoopbackCloud =
-        LoopbackCloud(size.machines, size.listLag, { host, offer -> workers.boot(host, offer) }, { workers.halt(it) })
+        LoopbackCloud(size.machines, size.listLag, { machineName, offer -> workers.boot(machineName, offer) }, { workers.halt(it) })
     val controllers = ControllerProcesses(CONTROLLERS, directory, arguments, ::settings)
     private val group = MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory())
     private val clients = controllers.addresses.map { HttpClient(group, it, 1 shl 20) }
     val jobs: List<JobSpec> = List(size.jobs, ::job)
 
     init {
-        workers = LoopbackWorkers(controllers.addresses, size.reportEvery, size.lease)
+        workers = LoopbackWorkers(controllers.addresses, size.heartbeatInterval, size.lease)
         controllers.startAll()
     }
 
     private fun job(number: Int): JobSpec =
-        Samples.unboundJob(Random(number), number).copy(
-            urgency = if (number % 2 == 0) Urgency.NORMAL else Urgency.IDLE,
+        Fixtures.unboundJob(Random(number), number).copy(
+            priority = if (number % 2 == 0) Priority.NORMAL else Priority.IDLE,
             tasks = size.tasksPerJob,
             expectedSeconds = size.taskSeconds * (1 + number % 3) / 2,
-            dueSeconds = null,
+            deadlineSeconds = null,
         )
 
     private fun settings(
@@ -97,11 +98,11 @@
         val seconds = { time: Duration -> time.toDouble(DurationUnit.SECONDS) }
         return """{"member":"c-$member","area":"${area(member)}","bind":"${text(bind[member])}",
             "peer_listen":"${text(peers[member])}","known":[$known],
-            "endpoints":{"cloud":"${text(cloud.address)}","state":"${text(state.address)}"},
+            "endpoints":{"cloud":"${text(cloud.address)}","state":"${text(store.address)}"},
             "settings":{"nodes":$CONTROLLERS,"zones":["east","west"],
             "teams":[{"name":"green","cpus":0.0,"cpus_max":0.0,"gpus":0.0,"gpus_max":0.0}],
             "objectives":[{"kind":"finished","class":"batch","within_s":60.0,"share":0.9}],
-            "workers":{"report_s":${seconds(size.reportEvery)},"lease_s":${seconds(size.lease)},
+            "workers":{"report_s":${seconds(size.heartbeatInterval)},"lease_s":${seconds(size.lease)},
             "gang_wait_s":30.0,"gang_peer_s":4.0,"cancel_s":${seconds(size.lease + 20.seconds)}},
             "state":{"rps":500.0,"write_rps":200.0,"value_kb":8.0,"txn_ops":24},
             "cloud":{"rps":10.0,"list_lag_s":${seconds(size.listLag)}},
@@ -165,9 +166,9 @@
         clients.firstNotNullOfOrNull { client ->
             try {
                 runBlocking { client.call(method, path, body, 5.seconds) }.let { it.status to it.body }
-            } catch (_: Unavailable) {
+            } catch (_: ServiceUnavailableException) {
                 null
-            } catch (_: NoAnswer) {
+            } catch (_: NoResponseException) {
                 null
             }?.takeIf { it.first < SERVER_ERRORS }
         }
@@ -188,7 +189,7 @@
         controllers.close()
         workers.close()
         cloud.close()
-        state.close()
+        store.close()
         group.shutdownGracefully(0, 1, java.util.concurrent.TimeUnit.SECONDS).sync()
     }
 
