--- a/src/test/kotlin/umberslip/fleet/FleetPlannerTest.kt
+++ b/src/test/kotlin/umberslip/provisioning/CapacityPlannerTest.kt
@@ -1,30 +1,35 @@
-package umberslip.fleet
+package umberslip.provisioning
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
-import umberslip.agents.Room
-import umberslip.cloud.HostName
 import umberslip.cloud.Offer
+import umberslip.core.MachineName
+import umberslip.core.Resources
+import umberslip.scheduling.ClusterSnapshot
+import umberslip.scheduling.MachineSnapshot
+import umberslip.scheduling.PendingWork
+import umberslip.scheduling.PlacementConstraint
+import umberslip.scheduling.RunningTask
 import umberslip.settings.Tuning
-import umberslip.sim.WorldSize
+import umberslip.sim.ClusterSize
 import kotlin.random.Random
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-class FleetPlannerTest {
-    private val flavors = WorldSize.SMALL.associateBy { it.label }
-    private val planner = FleetPlanner(Tuning())
-    private val any = Where(null, null, true)
+class CapacityPlannerTest {
+    private val instanceTypes = ClusterSize.SMALL.associateBy { it.label }
+    private val planner = CapacityPlanner(Tuning())
+    private val any = PlacementConstraint(null, null, true)
 
     private fun machine(
         name: String,
         offer: Offer,
-        running: List<Run> = emptyList(),
-    ) = MachineView(
-        HostName(name),
+        running: List<RunningTask> = emptyList(),
+    ) = MachineSnapshot(
+        MachineName(name),
         offer,
-        flavors[offer.type]?.let(Room::of),
+        instanceTypes[offer.type]?.resources,
         true,
         false,
         false,
@@ -40,16 +45,16 @@
     )
 
     private fun plan(
-        machines: List<MachineView>,
-        waiting: List<Work>,
+        machines: List<MachineSnapshot>,
+        waiting: List<PendingWork>,
         shut: (Offer) -> Boolean = { false },
-    ) = planner.plan(FleetView(machines, waiting), emptyList(), flavors, shut)
+    ) = planner.plan(ClusterSnapshot(machines, waiting), emptyList(), instanceTypes, shut)
 
     private fun work(
         tasks: Int,
-        where: Where = any,
+        where: PlacementConstraint = any,
         slack: Duration = 0.seconds,
-    ) = Work(where, Room(2.0, 0.0, 2.0), tasks, 60.0, slack)
+    ) = PendingWork(where, Resources(2.0, 0.0, 2.0), tasks, 60.0, slack)
 
     @Test
     fun `nothing waits, nothing is rented`() {
@@ -65,7 +70,7 @@
         val random = Random(3)
         repeat(200) {
             val where =
-                Where(
+                PlacementConstraint(
                     listOf(null, listOf("small"), listOf("large"))[random.nextInt(3)],
                     listOf(null, "west")[random.nextInt(2)],
                     random.nextBoolean(),
@@ -80,7 +85,7 @@
     @Test
     fun `one small task is worth a machine when there is none for it`() {
         // Found by the rules test: too little to fill a machine, it was never given one.
-        val tiny = Work(Where(listOf("small"), null, false), Room(0.5, 0.0, 0.5), 1, 2.0)
+        val tiny = PendingWork(PlacementConstraint(listOf("small"), null, false), Resources(0.5, 0.0, 0.5), 1, 2.0)
         assertEquals(1, plan(listOf(machine("a", Offer("large", "east", true))), listOf(tiny)).rent.single().number)
     }
 
@@ -90,8 +95,8 @@
         val small = machine("s", Offer("small", "east", false))
         val large = machine("l", Offer("large", "east", true))
         val plan =
-            plan(listOf(small, large), listOf(Work(Where(listOf("small"), null, false), Room(4.0, 0.0, 1.0), 1, 3.0)))
-        assertEquals(setOf(HostName("l")), plan.unneeded)
+            plan(listOf(small, large), listOf(PendingWork(PlacementConstraint(listOf("small"), null, false), Resources(4.0, 0.0, 1.0), 1, 3.0)))
+        assertEquals(setOf(MachineName("l")), plan.unneeded)
     }
 
     @Test
--- a/src/test/kotlin/umberslip/records/RecordsTest.kt
+++ b/src/test/kotlin/umberslip/records/RecordsTest.kt
@@ -13,15 +13,18 @@
 import org.junit.jupiter.api.Assertions.assertThrows
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
-import umberslip.cloud.HostName
+import umberslip.core.JobId
+import umberslip.core.MachineName
+import umberslip.core.TaskId
+import umberslip.core.Term
 import umberslip.http.Documents
 import umberslip.http.Fields
-import umberslip.http.Malformed
-import umberslip.sim.Samples
-import umberslip.state.Change
-import umberslip.state.Entry
-import umberslip.state.Lease
-import umberslip.state.Version
+import umberslip.http.MalformedMessageException
+import umberslip.sim.Fixtures
+import umberslip.store.Change
+import umberslip.store.Entry
+import umberslip.store.StoreLease
+import umberslip.store.Version
 import java.math.BigInteger
 import java.time.Instant
 import java.util.BitSet
@@ -40,7 +43,7 @@
         Placement(
             from + it,
             random.nextLong(1, 1L shl 40),
-            HostName("host-%06d".format(random.nextInt(1_000_000))),
+            MachineName("host-%06d".format(random.nextInt(1_000_000))),
         )
     }
 
@@ -48,8 +51,8 @@
     fun `jobs and their specs are read back as written`() =
         runBlocking<Unit> {
             checkAll(fixed, Arb.long()) { seed ->
-                val spec = Samples.job(Random(seed), 7)
-                assertEquals(spec, JobSpec.parse(Fields.of(wire(spec.toMap()))))
+                val spec = Fixtures.job(Random(seed), 7)
+                assertEquals(spec, JobSpecCodec.parse(Fields.of(wire(spec.toMap()))))
                 val job = JobRecord(spec, Instant.ofEpochMilli(seed and 0xffffff), seed % 2 == 0L)
                 assertEquals(job, JobRecord.parse(wire(job.toMap())))
             }
@@ -91,15 +94,15 @@
 
     @Test
     fun `records of the version in production are read, and those without awaits are written as it reads them`() {
-        val spec = Samples.job(Random(4), 4)
+        val spec = Fixtures.job(Random(4), 4)
         val job = JobRecord(spec, Instant.ofEpochMilli(7), false)
-        val chunk =
-            ChunkRecord(
+        val block =
+            ProgressRecord(
                 BitSet().apply {
                     set(0)
                     set(9)
                 },
-                listOf(Placement(3, 2, HostName("h-1"))),
+                listOf(Placement(3, 2, MachineName("h-1"))),
                 2,
                 77,
             )
@@ -109,8 +112,8 @@
                 mapOf(
                     spec.id to
                         LogRow(
-                            listOf(Placement(4, 3, HostName("h-2"))),
-                            listOf(Ended(3, 2, true), Ended(5, 1, false)),
+                            listOf(Placement(4, 3, MachineName("h-2"))),
+                            listOf(LoggedExit(3, 2, true), LoggedExit(5, 1, false)),
                         ),
                 ),
             )
@@ -118,16 +121,16 @@
             mapOf(
                 "spec" to spec.toMap(),
                 "job" to job.toMap(),
-                "chunk" to chunk.toMap(),
+                "chunk" to block.toMap(),
                 "log" to log.toMap(),
-                "owner" to OwnerRecord("c-1", Term(4), Lease(9)).toMap(),
-                "end" to EndRecord(End.DONE, 3).toMap(),
-                "hosts" to HostsRecord(setOf(HostName("h-1"))).toMap(),
+                "owner" to LeaderRecord("c-1", Term(4), StoreLease(9)).toMap(),
+                "end" to OutcomeRecord(JobOutcome.DONE, 3).toMap(),
+                "hosts" to MachineSetRecord(setOf(MachineName("h-1"))).toMap(),
             )
         for ((kind, fields) in production) assertEquals(fields, written.getValue(kind).keys, kind)
         val old = mapOf("seq" to 77L, "done" to "0102", "placed" to listOf(listOf(3L, 2L, "h-1")), "last" to 2L)
-        assertEquals(chunk, ChunkRecord.parse(wire(old)))
-        assertEquals(wire(old), wire(chunk.toMap()))
+        assertEquals(block, ProgressRecord.parse(wire(old)))
+        assertEquals(wire(old), wire(block.toMap()))
         val oldLog =
             mapOf(
                 "seq" to 78L,
@@ -135,42 +138,42 @@
             )
         assertEquals(log, LogRecord.parse(wire(oldLog)))
         assertEquals(wire(oldLog), wire(log.toMap()))
-        assertEquals(EndRecord(End.CANCELLED, 3), EndRecord.parse(mapOf("status" to "aborted", "pieces" to 3L)))
-        assertEquals(emptyList<JobId>(), JobSpec.parse(Fields.of(wire(spec.toMap()))).awaits)
+        assertEquals(OutcomeRecord(JobOutcome.CANCELLED, 3), OutcomeRecord.parse(mapOf("status" to "aborted", "pieces" to 3L)))
+        assertEquals(emptyList<JobId>(), JobSpecCodec.parse(Fields.of(wire(spec.toMap()))).dependencies)
         // A job that awaits others has one field more, which the version in production leaves alone.
-        val awaiting = spec.copy(awaits = listOf(JobId("run-1"), JobId("run-2")))
+        val awaiting = spec.copy(dependencies = listOf(JobId("run-1"), JobId("run-2")))
         assertEquals(setOf("awaits"), awaiting.toMap().keys - production.getValue("spec"))
-        assertEquals(awaiting, JobSpec.parse(Fields.of(wire(awaiting.toMap()))))
-        assertEquals(spec, JobSpec.parse(Fields.of(wire(awaiting.toMap() - "awaits"))))
+        assertEquals(awaiting, JobSpecCodec.parse(Fields.of(wire(awaiting.toMap()))))
+        assertEquals(spec, JobSpecCodec.parse(Fields.of(wire(awaiting.toMap() - "awaits"))))
     }
 
     @Test
     fun `of a fleet's machines as many are named as fit into a value`() {
         for (bytes in listOf(2048, 8192, 32768)) {
-            val all = List(3000) { HostName("host-%06d".format(it)) }
-            val named = HostsRecord.fitting(all, bytes)
+            val all = List(3000) { MachineName("host-%06d".format(it)) }
+            val named = MachineSetRecord.fitting(all, bytes)
             assertEquals(all.take(named.size), named.toList())
-            assertTrue(Documents.jsonSize(HostsRecord(named).toMap()) in bytes - 50..bytes)
+            assertTrue(Documents.jsonSize(MachineSetRecord(named).toMap()) in bytes - 50..bytes)
         }
     }
 
     @Test
-    fun `a chunk of any progress is read back and fits into a value`() =
+    fun `a progress block of any progress is read back and fits into a value`() =
         runBlocking<Unit> {
             for (bytes in listOf(2048, 8192, 32768)) {
-                val size = ChunkRecord.tasksPerChunk(bytes)
+                val size = ProgressRecord.tasksPerBlock(bytes)
                 checkAll(fixed.copy(iterations = 30), Arb.long()) { seed ->
                     val random = Random(seed)
                     val done = BitSet().apply { repeat(size) { if (random.nextBoolean()) set(it) } }
                     val base = 90_000
                     val record =
-                        ChunkRecord(
+                        ProgressRecord(
                             done,
                             placements(random, base, size).filter { !done.get(it.index - base) },
                             1L shl 40,
                             5L shl 32,
                         )
-                    assertEquals(record, ChunkRecord.parse(wire(record.toMap())))
+                    assertEquals(record, ProgressRecord.parse(wire(record.toMap())))
                     assertTrue(Documents.jsonSize(record.toMap()) <= bytes)
                     assertTrue(Documents.jsonSize(record.toMap()) <= record.bytes, "its size is never underestimated")
                 }
@@ -186,7 +189,7 @@
                 // Those that are done stand first.
                 fun ends() =
                     List(random.nextInt(0, 9)) {
-                        Ended(random.nextInt(1000), random.nextLong(1, 40), random.nextBoolean())
+                        LoggedExit(random.nextInt(1000), random.nextLong(1, 40), random.nextBoolean())
                     }.sortedBy { !it.done }
                 val record =
                     LogRecord(
@@ -212,7 +215,7 @@
                 val id = JobId.parse(text)
                 if (id != null) {
                     assertEquals(id, Keys.asJob(Keys.job(id)))
-                    assertEquals(id to 3, Keys.asChunk(Keys.chunk(id, 3)))
+                    assertEquals(id to 3, Keys.asProgress(Keys.progress(id, 3)))
                     assertEquals(TaskId(id, 12), TaskId.parse(TaskId(id, 12).toString()))
                 }
             }
@@ -225,9 +228,9 @@
     fun `a malformed job is refused`() {
         // As it comes over the wire: the map itself has numbers of kinds that are never read, and would be refused for
         // those alone.
-        val good = Samples.job(Random(1), 1).toMap()
+        val good = Fixtures.job(Random(1), 1).toMap()
 
-        fun parse(map: Map<String, Any?>) = JobSpec.parse(Fields.of(wire(map)))
+        fun parse(map: Map<String, Any?>) = JobSpecCodec.parse(Fields.of(wire(map)))
         parse(good)
         for (
         (field, bad) in listOf(
@@ -252,16 +255,16 @@
             "awaits" to listOf("a b"),
         )
         ) {
-            assertThrows(Malformed::class.java, { parse(good + (field to bad)) }, "$field $bad")
+            assertThrows(MalformedMessageException::class.java, { parse(good + (field to bad)) }, "$field $bad")
         }
-        assertEquals(listOf(JobId("run-1")), parse(good + ("awaits" to listOf("run-1", "run-1"))).awaits)
-        assertEquals(emptyList<JobId>(), parse(good + ("awaits" to null)).awaits)
+        assertEquals(listOf(JobId("run-1")), parse(good + ("awaits" to listOf("run-1", "run-1"))).dependencies)
+        assertEquals(emptyList<JobId>(), parse(good + ("awaits" to null)).dependencies)
         val mayLack = setOf("hosttypes", "hall", "due_s")
         for (field in good.keys) {
             if (field in mayLack) {
                 parse(good - field)
             } else {
-                assertThrows(Malformed::class.java, { parse(good - field) }, "without $field")
+                assertThrows(MalformedMessageException::class.java, { parse(good - field) }, "without $field")
             }
         }
     }
@@ -269,7 +272,7 @@
     @Test
     fun `the replica comes to the same whatever order and repetition changes come in`() =
         runBlocking<Unit> {
-            val specs = List(4) { Samples.job(Random(it), it) }
+            val specs = List(4) { Fixtures.job(Random(it), it) }
             checkAll(fixed, Arb.long()) { seed ->
                 val random = Random(seed)
                 val last = HashMap<String, Change>()
@@ -290,7 +293,7 @@
                     last[key] = change
                     all += change
                 }
-                val replica = Replica()
+                val replica = RecordReplica()
                 // Every change once in order, with older ones seen again in between.
                 all.forEachIndexed { i, change ->
                     replica.apply(change)
@@ -311,7 +314,7 @@
                         .toSet(),
                 )
                 // Reading everything anew gives the same.
-                val anew = Replica()
+                val anew = RecordReplica()
                 anew.apply(all.first())
                 anew.replace(last.values.filterIsInstance<Change.Put>().map { Entry(it.key, it.data, it.version) })
                 assertEquals(
@@ -327,8 +330,8 @@
 
     @Test
     fun `progress counts a task once however many log entries repeat its start`() {
-        val spec = Samples.job(Random(3), 3).copy(tasks = 5)
-        val replica = Replica()
+        val spec = Fixtures.job(Random(3), 3).copy(tasks = 5)
+        val replica = RecordReplica()
         replica.apply(Change.Put(Keys.job(spec.id), wire(JobRecord(spec, Instant.EPOCH, false).toMap()), Version(1)))
 
         fun log(
@@ -336,24 +339,24 @@
             seq: Long,
             row: LogRow,
         ) = replica.apply(Change.Put(Keys.log(slot), wire(LogRecord(seq, mapOf(spec.id to row)).toMap()), Version(seq)))
-        val first = Placement(0, 1, HostName("a"))
-        val second = Placement(1, 2, HostName("a"))
+        val first = Placement(0, 1, MachineName("a"))
+        val second = Placement(1, 2, MachineName("a"))
         log(7, 10, LogRow(listOf(first, second), emptyList()))
         assertEquals(Progress(0, 2), replica.progress(spec.id))
-        log(3, 11, LogRow(listOf(first), listOf(Ended(1, 2, true))))
+        log(3, 11, LogRow(listOf(first), listOf(LoggedExit(1, 2, true))))
         assertEquals(Progress(1, 1), replica.progress(spec.id))
-        log(4, 12, LogRow(listOf(Placement(2, 3, HostName("b"))), listOf(Ended(1, 0, true), Ended(0, 1, false))))
+        log(4, 12, LogRow(listOf(Placement(2, 3, MachineName("b"))), listOf(LoggedExit(1, 0, true), LoggedExit(0, 1, false))))
         assertEquals(Progress(1, 1), replica.progress(spec.id))
     }
 
     @Test
     fun `a corrupt record is left alone and its neighbours are read`() {
-        val spec = Samples.job(Random(3), 3)
-        val replica = Replica()
+        val spec = Fixtures.job(Random(3), 3)
+        val replica = RecordReplica()
         replica.apply(Change.Put("u/job/run-000001", mapOf("spec" to 5L), Version(1)))
         replica.apply(Change.Put(Keys.job(spec.id), wire(JobRecord(spec, Instant.EPOCH, false).toMap()), Version(2)))
-        replica.apply(Change.Put(Keys.OWNER, wire(OwnerRecord("c-1", Term(4), Lease(9)).toMap()), Version(3)))
+        replica.apply(Change.Put(Keys.LEADER, wire(LeaderRecord("c-1", Term(4), StoreLease(9)).toMap()), Version(3)))
         assertEquals(setOf(spec.id), replica.jobs().keys)
-        assertEquals(OwnerRecord("c-1", Term(4), Lease(9)), replica.owner?.value)
+        assertEquals(LeaderRecord("c-1", Term(4), StoreLease(9)), replica.leader?.value)
     }
 }
--- a/src/test/kotlin/umberslip/recovery/GeneratedRestartsTest.kt
+++ b/src/test/kotlin/umberslip/recovery/GeneratedRestartsTest.kt
@@ -6,10 +6,10 @@
 import org.junit.jupiter.params.provider.MethodSource
 import umberslip.settings.RecoveryTuning
 import umberslip.settings.Tuning
+import umberslip.sim.ClusterSize
+import umberslip.sim.Fixtures
 import umberslip.sim.Mischief
-import umberslip.sim.Samples
-import umberslip.sim.World
-import umberslip.sim.WorldSize
+import umberslip.sim.SimulatedCluster
 import kotlin.random.Random
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
@@ -24,12 +24,12 @@
         seed: Int,
     ) {
         val random = Random(seed)
-        val world =
-            World(
+        val cluster =
+            SimulatedCluster(
                 seed,
                 Mischief(lossy = 0.005, late = 0.005, copied = 0.05),
-                WorldSize(5),
-                Samples::settingsJson,
+                ClusterSize(5),
+                Fixtures::settingsJson,
                 { Tuning(recovery = RecoveryTuning(track = true, returnMissing = true)) },
             )
         private var number = 0
@@ -37,10 +37,10 @@
         fun pause(seconds: Int) =
             repeat(seconds) {
                 if (random.nextInt(3) == 0) {
-                    val job = Samples.job(random, number++)
-                    world.user(job.copy(expectedSeconds = job.expectedSeconds * 5, tasks = minOf(job.tasks, 8)), null)
+                    val job = Fixtures.job(random, number++)
+                    cluster.user(job.copy(expectedSeconds = job.expectedSeconds * 5, tasks = minOf(job.tasks, 8)), null)
                 }
-                world.run(1.seconds)
+                cluster.run(1.seconds)
             }
 
         /** From a fraction of a second to longer than a cancellation may take. */
@@ -55,35 +55,35 @@
 
         fun fall() {
             if (random.nextBoolean()) cancelSome(4)
-            (0..2).forEach(world::stopController)
-            if (random.nextInt(3) == 0) world.state.out = true
+            (0..2).forEach(cluster::stopController)
+            if (random.nextInt(3) == 0) cluster.store.out = true
             val dark = darkness()
-            world.run(dark / 2)
+            cluster.run(dark / 2)
             meanwhile()
-            world.run(dark / 2)
-            if (random.nextInt(3) == 0) world.lateWrites = 0.15
+            cluster.run(dark / 2)
+            if (random.nextInt(3) == 0) cluster.lateWrites = 0.15
             comeBack()
-            world.state.out = false
+            cluster.store.out = false
             pause(random.nextInt(1, 6))
             cancelSome(2)
         }
 
         private fun cancelSome(count: Int) =
-            world
+            cluster
                 .runningJobs()
                 .shuffled(random)
                 .take(count)
-                .forEach(world::cancel)
+                .forEach(cluster::cancel)
 
         private fun meanwhile() {
-            val machines = world.upMachines().shuffled(random)
+            val machines = cluster.upMachines().shuffled(random)
             when (random.nextInt(6)) {
-                0 -> machines.take(machines.size * 2 / 3).forEach(world::kill)
-                1 -> machines.take(machines.size / 3).forEach { world.hang(it, random.nextInt(3, 30).seconds) }
-                2 -> machines.take(machines.size / 2).forEach { world.mute(it, random.nextInt(5, 40).seconds) }
-                3 -> machines.take(3).forEach { world.reboot(it, blank = random.nextBoolean()) }
-                4 -> world.cutZones(random.nextInt(5, 45).seconds)
-                else -> machines.take(3).forEach { world.deafen(it, random.nextInt(5, 30).seconds) }
+                0 -> machines.take(machines.size * 2 / 3).forEach(cluster::kill)
+                1 -> machines.take(machines.size / 3).forEach { cluster.hang(it, random.nextInt(3, 30).seconds) }
+                2 -> machines.take(machines.size / 2).forEach { cluster.mute(it, random.nextInt(5, 40).seconds) }
+                3 -> machines.take(3).forEach { cluster.reboot(it, blank = random.nextBoolean()) }
+                4 -> cluster.cutZones(random.nextInt(5, 45).seconds)
+                else -> machines.take(3).forEach { cluster.deafen(it, random.nextInt(5, 30).seconds) }
             }
         }
 
@@ -91,12 +91,12 @@
         private fun comeBack() {
             val apart = if (random.nextBoolean()) 15_000 else 500
             for (controller in (0..2).shuffled(random)) {
-                world.startController(controller)
-                world.run(random.nextInt(50, apart).milliseconds)
+                cluster.startController(controller)
+                cluster.run(random.nextInt(50, apart).milliseconds)
                 if (random.nextInt(4) > 0) continue
-                world.stopController(controller)
-                world.run(random.nextInt(50, 1500).milliseconds)
-                world.startController(controller)
+                cluster.stopController(controller)
+                cluster.run(random.nextInt(50, 1500).milliseconds)
+                cluster.startController(controller)
             }
         }
     }
@@ -105,28 +105,28 @@
     @MethodSource("seeds")
     fun `no rule breaks and nothing is left over`(seed: Int) {
         val falls = Falls(seed)
-        val world = falls.world
-        for (i in 0..2) world.startController(i)
+        val cluster = falls.cluster
+        for (i in 0..2) cluster.startController(i)
         falls.pause(40)
         repeat(3) {
             falls.fall()
             falls.pause(falls.random.nextInt(5, 30))
         }
-        world.calm()
-        val deadline = world.now() + 3000.seconds
-        while (world.finishedJobs + world.cancelledJobs < world.acceptedJobs && world.now() < deadline) {
-            world.run(5.seconds)
+        cluster.calm()
+        val deadline = cluster.now() + 3000.seconds
+        while (cluster.finishedJobs + cluster.cancelledJobs < cluster.acceptedJobs && cluster.now() < deadline) {
+            cluster.run(5.seconds)
         }
         val recovery =
-            world
-                .ownersMetrics()
+            cluster
+                .leaderMetrics()
                 ?.find(RecoveryMetrics.SETTLED)
                 ?.gauge()
                 ?.value() ?: Double.NaN
-        world.end()
-        assertEquals(emptyList<String>(), world.broken.take(5))
-        assertEquals(world.acceptedJobs, world.finishedJobs + world.cancelledJobs, "jobs that ended; ${world.open()}")
-        assertTrue(world.starts > 20, "only ${world.starts} tasks started")
+        cluster.end()
+        assertEquals(emptyList<String>(), cluster.broken.take(5))
+        assertEquals(cluster.acceptedJobs, cluster.finishedJobs + cluster.cancelledJobs, "jobs that ended; ${cluster.open()}")
+        assertTrue(cluster.starts > 20, "only ${cluster.starts} tasks started")
         assertTrue(recovery.isFinite(), "the last recovery settled")
     }
 
--- a/src/test/kotlin/umberslip/recovery/LossInTheDarkTest.kt
+++ b/src/test/kotlin/umberslip/recovery/LossWithoutLeaderTest.kt
@@ -6,10 +6,10 @@
 import org.junit.jupiter.params.provider.ValueSource
 import umberslip.settings.RecoveryTuning
 import umberslip.settings.Tuning
+import umberslip.sim.ClusterSize
+import umberslip.sim.Fixtures
 import umberslip.sim.Mischief
-import umberslip.sim.Samples
-import umberslip.sim.World
-import umberslip.sim.WorldSize
+import umberslip.sim.SimulatedCluster
 import kotlin.random.Random
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
@@ -18,7 +18,7 @@
  * Most machines are taken back while every controller is away. What is left is less than half, so the silence of the
  * others looks like a cut zone, and without the cloud's list their tasks wait until every lease must be over.
  */
-class LossInTheDarkTest {
+class LossWithoutLeaderTest {
     private class Outcome(
         val lostTasks: Double,
         val adoptedTasks: Double,
@@ -42,45 +42,45 @@
         returnMissing: Boolean,
     ): Outcome {
         val tuning = Tuning(recovery = RecoveryTuning(track = true, returnMissing = returnMissing))
-        val world = World(seed, Mischief(0.0, 0.0), WorldSize(20), Samples::settingsJson, { tuning })
-        for (i in 0..2) world.startController(i)
+        val cluster = SimulatedCluster(seed, Mischief(0.0, 0.0), ClusterSize(20), Fixtures::settingsJson, { tuning })
+        for (i in 0..2) cluster.startController(i)
         val random = Random(seed)
-        repeat(12) { world.user(longJob(random, it), null) }
-        world.run(45.seconds)
-        (0..2).forEach(world::stopController)
-        val machines = world.upMachines().shuffled(random)
-        machines.take(machines.size * 3 / 4).forEach(world::kill)
-        world.run(4.seconds)
-        (0..2).forEach(world::startController)
+        repeat(12) { cluster.user(longJob(random, it), null) }
+        cluster.run(45.seconds)
+        (0..2).forEach(cluster::stopController)
+        val machines = cluster.upMachines().shuffled(random)
+        machines.take(machines.size * 3 / 4).forEach(cluster::kill)
+        cluster.run(4.seconds)
+        (0..2).forEach(cluster::startController)
         var settled = Double.NaN
-        while (settled.isNaN() && world.now() < 400.seconds) {
-            world.run(1.seconds)
-            settled = gauge(world, RecoveryMetrics.SETTLED) ?: Double.NaN
+        while (settled.isNaN() && cluster.now() < 400.seconds) {
+            cluster.run(1.seconds)
+            settled = gauge(cluster, RecoveryMetrics.SETTLED) ?: Double.NaN
         }
         val outcome =
             Outcome(
-                gauge(world, RecoveryMetrics.LOST_TASKS) ?: 0.0,
-                gauge(world, RecoveryMetrics.FINDINGS, TaskFinding.ADOPTED) ?: 0.0,
+                gauge(cluster, RecoveryMetrics.LOST_TASKS) ?: 0.0,
+                gauge(cluster, RecoveryMetrics.FINDINGS, ReconciliationFinding.ADOPTED) ?: 0.0,
                 settled.seconds,
             )
-        world.run(60.seconds)
-        world.end()
-        assertEquals(emptyList<String>(), world.broken.take(5))
+        cluster.run(60.seconds)
+        cluster.end()
+        assertEquals(emptyList<String>(), cluster.broken.take(5))
         return outcome
     }
 
     private fun longJob(
         random: Random,
         number: Int,
-    ) = Samples.unboundJob(random, number).copy(tasks = 12, expectedSeconds = 120.0)
+    ) = Fixtures.unboundJob(random, number).copy(tasks = 12, expectedSeconds = 120.0)
 
-    /** Null while nobody owns, or its term is not the one after the fall. */
+    /** Null while nobody leads, or its term is not the one after the fall. */
     private fun gauge(
-        world: World,
+        cluster: SimulatedCluster,
         name: String,
-        finding: TaskFinding? = null,
+        finding: ReconciliationFinding? = null,
     ): Double? {
-        val metrics = world.ownersMetrics() ?: return null
+        val metrics = cluster.leaderMetrics() ?: return null
         val term = metrics.find(RecoveryMetrics.TERM).gauge()?.value() ?: return null
         if (term < 2) return null
         val search = metrics.find(name)
--- a/src/test/kotlin/umberslip/recovery/MissingMachinesTest.kt
+++ b/src/test/kotlin/umberslip/recovery/MissingMachinesTest.kt
@@ -3,22 +3,22 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
-import umberslip.cloud.HostName
+import umberslip.core.MachineName
 import umberslip.settings.Settings
 import umberslip.settings.Timings
 import umberslip.settings.Tuning
-import umberslip.sim.Samples
+import umberslip.sim.Fixtures
 import kotlin.random.Random
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
 class MissingMachinesTest {
-    private val settings = Settings.parse(Samples.settingsJson("c-0"))
+    private val settings = Settings.parse(Fixtures.settingsJson("c-0"))
     private val missing = MissingMachines(settings, Timings(settings.workers, Tuning()))
 
     private class Life(
-        val name: HostName,
+        val name: MachineName,
         val from: Duration,
         val to: Duration,
     )
@@ -32,7 +32,7 @@
             val lives =
                 List(8) {
                     val from = random.nextInt(60_000).milliseconds
-                    Life(HostName("m$it"), from, from + random.nextInt(90_000).milliseconds)
+                    Life(MachineName("m$it"), from, from + random.nextInt(90_000).milliseconds)
                 }
             repeat(40) {
                 val began = random.nextInt(150_000).milliseconds
@@ -56,10 +56,10 @@
 
     @Test
     fun `it is found in the first list that must show it, unless it was just heard`() {
-        val known = KnownMachine(HostName("m"), 100.seconds, 20.seconds)
-        val heard = KnownMachine(HostName("n"), 100.seconds, 2.seconds)
-        assertEquals(emptyList<HostName>(), missing.of(108.seconds, emptySet(), listOf(known, heard)))
+        val known = KnownMachine(MachineName("m"), 100.seconds, 20.seconds)
+        val heard = KnownMachine(MachineName("n"), 100.seconds, 2.seconds)
+        assertEquals(emptyList<MachineName>(), missing.of(108.seconds, emptySet(), listOf(known, heard)))
         assertEquals(listOf(known.name), missing.of(110.seconds, emptySet(), listOf(known, heard)))
-        assertEquals(emptyList<HostName>(), missing.of(110.seconds, setOf(known.name), listOf(known)))
+        assertEquals(emptyList<MachineName>(), missing.of(110.seconds, setOf(known.name), listOf(known)))
     }
 }
--- a/src/test/kotlin/umberslip/recovery/TaskFindingTest.kt
+++ b/src/test/kotlin/umberslip/recovery/ReconciliationFindingTest.kt
@@ -3,38 +3,38 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
-import umberslip.agents.Cause
-import umberslip.agents.Order
+import umberslip.agents.ExitCause
 import umberslip.agents.ReportedTask
-import umberslip.cloud.HostName
-import umberslip.dispatch.RunningJob
-import umberslip.dispatch.TestScheduler
-import umberslip.records.JobId
-import umberslip.records.TaskId
+import umberslip.agents.WorkerCommand
+import umberslip.core.JobId
+import umberslip.core.MachineName
+import umberslip.core.TaskId
+import umberslip.scheduling.RunningJob
+import umberslip.scheduling.TestScheduler
 import java.util.EnumSet
 import kotlin.random.Random
 import kotlin.time.Duration.Companion.seconds
 
-/** After every controller fell: generated records and reports disagree, and the owner does what each finding says. */
-class TaskFindingTest {
-    private val seen = EnumSet.noneOf(TaskFinding::class.java)
+/** After every controller fell: generated records and heartbeats disagree, and the leader does what each finding says. */
+class ReconciliationFindingTest {
+    private val seen = EnumSet.noneOf(ReconciliationFinding::class.java)
 
     @Test
-    fun `what the owner orders is the decision of each finding`() {
+    fun `what the leader orders is the decision of each finding`() {
         for (seed in 1..300) play(Random(seed))
-        assertEquals(EnumSet.allOf(TaskFinding::class.java), seen, "every finding was brought about")
+        assertEquals(EnumSet.allOf(ReconciliationFinding::class.java), seen, "every finding was brought about")
     }
 
     private fun play(random: Random) {
         val former = TestScheduler()
         val jobs = List(4) { former.job { it.copy(tasks = 2) } }
-        former.report("m")
-        former.deal("m")
+        former.heartbeat("m")
+        former.dispatch("m")
         former.write()
-        val started = former.orders("m").filterIsInstance<Order.Start>()
-        // What the former owner still learnt and wrote before it fell.
+        val started = former.commands("m").filterIsInstance<WorkerCommand.Start>()
+        // What the former leader still learnt and wrote before it fell.
         val ended = started.filter { random.nextInt(5) == 0 }
-        former.report("m", *ended.map { TestScheduler.ended(it.task, it.attempt, Cause.DONE) }.toTypedArray())
+        former.heartbeat("m", *ended.map { TestScheduler.ended(it.task, it.attempt, ExitCause.DONE) }.toTypedArray())
         former.now += 2.seconds
         former.write()
         jobs.filter { random.nextInt(5) == 0 }.forEach { former.cancel(it) }
@@ -44,26 +44,26 @@
                 .map { it.spec.id }
 
         val next = former.successor()
-        // Cancelled in the records, too, when the new owner reads them.
+        // Cancelled in the records, too, when the new leader reads them.
         for (id in cancelled) next.scheduler.jobs[id]?.let(next::cancel)
-        val reported = started.mapNotNull { report(it, random) } + strangers(random)
-        next.report("m", token = former.term, counter = 50)
+        val reported = started.mapNotNull { heartbeat(it, random) } + strangers(random)
+        next.heartbeat("m", fencingToken = former.term, sequenceNumber = 50)
         val before = next.scheduler.jobs.mapValues { (_, job) -> job.doneCount }
-        val machine = next.scheduler.machines.getValue(HostName("m"))
-        val findings = TaskFinding.of(machine, reported, next.scheduler.jobs)
-        next.report("m", *reported.toTypedArray(), counter = 51)
+        val machine = next.scheduler.machines.getValue(MachineName("m"))
+        val findings = ReconciliationFinding.of(machine, reported, next.scheduler.jobs)
+        next.heartbeat("m", *reported.toTypedArray(), sequenceNumber = 51)
         check(next, reported, findings, before)
     }
 
-    private fun report(
-        start: Order.Start,
+    private fun heartbeat(
+        start: WorkerCommand.Start,
         random: Random,
     ): ReportedTask? =
         when (random.nextInt(6)) {
             0 -> null
-            1 -> TestScheduler.ended(start.task, start.attempt, Cause.DONE)
+            1 -> TestScheduler.ended(start.task, start.attempt, ExitCause.DONE)
             2 -> TestScheduler.running(start.task, start.attempt + 7)
-            3 -> TestScheduler.ended(start.task, start.attempt + 7, Cause.HALTED)
+            3 -> TestScheduler.ended(start.task, start.attempt + 7, ExitCause.STOPPED)
             else -> TestScheduler.running(start.task, start.attempt)
         }
 
@@ -72,7 +72,7 @@
         val id = TaskId(JobId("run-999999"), random.nextInt(3))
         return when (random.nextInt(3)) {
             0 -> listOf(TestScheduler.running(id, 1))
-            1 -> listOf(TestScheduler.ended(id, 1, Cause.DONE))
+            1 -> listOf(TestScheduler.ended(id, 1, ExitCause.DONE))
             else -> emptyList()
         }
     }
@@ -80,29 +80,29 @@
     private fun check(
         next: TestScheduler,
         reported: List<ReportedTask>,
-        findings: Map<TaskId, TaskFinding>,
+        findings: Map<TaskId, ReconciliationFinding>,
         doneBefore: Map<JobId, Int>,
     ) {
-        val orders = next.orders("m").groupBy { it.task }
+        val commands = next.commands("m").groupBy { it.task }
         val attempts = reported.associate { it.task to it.attempt }
         for ((task, finding) in findings) {
             seen += finding
-            val here = orders[task].orEmpty()
+            val here = commands[task].orEmpty()
             when (finding.decision) {
-                Decision.KEEP, Decision.WITHDRAW -> assertTrue(here.isEmpty(), "$task $finding: $here")
-                Decision.STOP -> {
-                    val stop = here.single() as Order.Stop
+                ReconciliationDecision.KEEP, ReconciliationDecision.WITHDRAW -> assertTrue(here.isEmpty(), "$task $finding: $here")
+                ReconciliationDecision.STOP -> {
+                    val stop = here.single() as WorkerCommand.Stop
                     assertEquals(attempts[task], stop.attempt, "$task $finding")
                 }
-                Decision.CLEAR -> {
-                    val clear = here.first() as Order.Clear
+                ReconciliationDecision.CLEAR -> {
+                    val clear = here.first() as WorkerCommand.Clear
                     assertEquals(attempts[task], clear.attempt, "$task $finding")
                 }
-                Decision.TELL_START_AGAIN -> {
+                ReconciliationDecision.TELL_START_AGAIN -> {
                     val assignment = next.machine("m").assignments.getValue(task)
-                    assertEquals(listOf(assignment.attempt), here.map { (it as Order.Start).attempt }, "$task $finding")
+                    assertEquals(listOf(assignment.attempt), here.map { (it as WorkerCommand.Start).attempt }, "$task $finding")
                 }
-                Decision.RECORD_END -> assertTrue(here.isEmpty(), "$task is not cleared before its end is written")
+                ReconciliationDecision.RECORD_END -> assertTrue(here.isEmpty(), "$task is not cleared before its end is written")
             }
         }
         checkEndsAreRecorded(next, findings, doneBefore)
@@ -110,16 +110,16 @@
 
     private fun checkEndsAreRecorded(
         next: TestScheduler,
-        findings: Map<TaskId, TaskFinding>,
+        findings: Map<TaskId, ReconciliationFinding>,
         doneBefore: Map<JobId, Int>,
     ) {
         val jobs = HashMap<JobId, RunningJob>(next.scheduler.jobs)
         // Ends wait a moment for others to be written along with them.
         next.now += 2.seconds
         next.write()
-        val cleared = next.orders("m").filterIsInstance<Order.Clear>().map { it.task }
+        val cleared = next.commands("m").filterIsInstance<WorkerCommand.Clear>().map { it.task }
         for ((task, finding) in findings) {
-            if (finding != TaskFinding.END_UNRECORDED) continue
+            if (finding != ReconciliationFinding.END_UNRECORDED) continue
             assertTrue(task in cleared, "$task is cleared once its end is written")
             assertTrue(jobs.getValue(task.job).isDone(task.index))
             assertTrue(jobs.getValue(task.job).doneCount > doneBefore.getValue(task.job))
--- a/src/test/kotlin/umberslip/recovery/RecoveryReportTest.kt
+++ b/src/test/kotlin/umberslip/recovery/RecoveryReportTest.kt
@@ -9,11 +9,11 @@
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
-import umberslip.cloud.HostName
-import umberslip.dispatch.TestScheduler
-import umberslip.records.JobId
-import umberslip.records.TaskId
-import umberslip.records.Term
+import umberslip.core.JobId
+import umberslip.core.MachineName
+import umberslip.core.TaskId
+import umberslip.core.Term
+import umberslip.scheduling.TestScheduler
 import java.net.InetSocketAddress
 import java.net.ServerSocket
 import kotlin.random.Random
@@ -40,7 +40,7 @@
             random.nextInt(50),
             random.nextInt(500),
             random.nextInt(500),
-            TaskFinding.entries.filter { random.nextBoolean() }.associateWith { random.nextInt(1, 900) },
+            ReconciliationFinding.entries.filter { random.nextBoolean() }.associateWith { random.nextInt(1, 900) },
             time(),
             time(),
             time(),
@@ -48,16 +48,16 @@
     }
 
     private fun records(
-        owner: String?,
+        leader: String?,
         term: Long,
     ) = RecordsAnswer.Read(
         RecordedWork(
-            owner,
+            leader,
             Term(term),
             jobs = List(5) { JobId("run-$it") }.toSet(),
             cancelled = setOf(JobId("run-0")),
             doneTasks = emptyMap(),
-            starts = List(30) { TaskId(JobId("run-1"), it) to RecordedStart(HostName("m${it % 7}"), 1) }.toMap(),
+            starts = List(30) { TaskId(JobId("run-1"), it) to RecordedStart(MachineName("m${it % 7}"), 1) }.toMap(),
             unreadable = setOf("u/job/run-1"),
         ),
     )
@@ -72,9 +72,9 @@
     fun `a snapshot comes through the metrics as it was`() {
         for (seed in 1..50) {
             val snapshot = snapshot(Random(seed))
-            assertEquals(ControllerAnswer.Owner("10.0.0.1:8080", snapshot), published(snapshot))
+            assertEquals(ControllerAnswer.Leader("10.0.0.1:8080", snapshot), published(snapshot))
         }
-        assertEquals(ControllerAnswer.NotOwner("10.0.0.1:8080"), published(null))
+        assertEquals(ControllerAnswer.NotLeader("10.0.0.1:8080"), published(null))
         val without = ControllerMetrics.parse("a:1", "umberslip_reports_total 4.0\n")
         assertEquals(ControllerAnswer.NotTracked("a:1"), without)
     }
@@ -88,8 +88,8 @@
 
     @Test
     fun `the status follows the highest term that anybody knows`() {
-        val settled = ControllerAnswer.Owner("a:1", snapshot(Random(1), RecoveryPhase.SETTLED, 5))
-        val adopting = ControllerAnswer.Owner("b:1", snapshot(Random(2), RecoveryPhase.ADOPTING, 6))
+        val settled = ControllerAnswer.Leader("a:1", snapshot(Random(1), RecoveryPhase.SETTLED, 5))
+        val adopting = ControllerAnswer.Leader("b:1", snapshot(Random(2), RecoveryPhase.ADOPTING, 6))
         val away = ControllerAnswer.Unreachable("c:1", "refused")
         val unreadable = RecordsAnswer.Unreadable("503")
 
@@ -114,17 +114,17 @@
             val controllers =
                 List(random.nextInt(4)) {
                     when (random.nextInt(4)) {
-                        0 -> ControllerAnswer.NotOwner("a:1")
+                        0 -> ControllerAnswer.NotLeader("a:1")
                         1 -> ControllerAnswer.NotTracked("a:1")
                         2 -> ControllerAnswer.Unreachable("a:1", "refused")
-                        else -> ControllerAnswer.Owner("a:1", snapshot(random))
+                        else -> ControllerAnswer.Leader("a:1", snapshot(random))
                     }
                 }
             val json = RecoveryReport(records, controllers).toJson()
             assertEquals(emptyList<Any>(), schema.validate(json, InputFormat.JSON), json)
         }
-        val owner = ControllerAnswer.Owner("a:1", snapshot(Random(1)))
-        val good = RecoveryReport(records("c-0", 3), listOf(owner)).toJson()
+        val leader = ControllerAnswer.Leader("a:1", snapshot(Random(1)))
+        val good = RecoveryReport(records("c-0", 3), listOf(leader)).toJson()
         for ((from, to) in listOf(
             "\"version\":1" to "\"version\":2",
             "\"state\":\"owner\"" to "\"state\":\"not_owner\"",
@@ -137,12 +137,12 @@
     }
 
     @Test
-    fun `what the records say is counted as the next owner would take it over`() {
+    fun `what the records say is counted as the next leader would take it over`() {
         val scheduler = TestScheduler()
         val job = scheduler.job { it.copy(tasks = 5) }
         val cancelled = scheduler.job { it.copy(tasks = 1) }
-        scheduler.report("m1")
-        scheduler.deal("m1")
+        scheduler.heartbeat("m1")
+        scheduler.dispatch("m1")
         scheduler.write()
         scheduler.cancel(cancelled)
         val state = scheduler.recorded()
@@ -160,7 +160,7 @@
                 records("c-0", 3),
                 listOf(
                     ControllerAnswer.Unreachable("b:1", "refused"),
-                    ControllerAnswer.Owner("a:1", snapshot(Random(1), RecoveryPhase.ADOPTING, 3).copy(settled = null)),
+                    ControllerAnswer.Leader("a:1", snapshot(Random(1), RecoveryPhase.ADOPTING, 3).copy(settled = null)),
                 ),
             )
         val text = report.toText()
--- a/src/test/kotlin/umberslip/recovery/archive/RecordArchiveTest.kt
+++ b/src/test/kotlin/umberslip/recovery/archive/RecordArchiveTest.kt
@@ -6,13 +6,13 @@
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.api.assertThrows
 import org.junit.jupiter.api.io.TempDir
-import umberslip.agents.Cause
-import umberslip.agents.Order
-import umberslip.cloud.HostName
-import umberslip.dispatch.TestScheduler
-import umberslip.sim.Samples
-import umberslip.state.Entry
-import umberslip.state.Version
+import umberslip.agents.ExitCause
+import umberslip.agents.WorkerCommand
+import umberslip.core.MachineName
+import umberslip.scheduling.TestScheduler
+import umberslip.sim.Fixtures
+import umberslip.store.Entry
+import umberslip.store.Version
 import umberslip.toolbox.Toolbox
 import java.io.PrintWriter
 import java.io.StringWriter
@@ -122,9 +122,9 @@
     fun `a comparison tells what ran on, began again, ended or waits`() {
         val scheduler = TestScheduler()
         val jobs = List(3) { scheduler.job { it.copy(tasks = 2, cpus = 2.0) } }
-        for (host in listOf("m1", "m2", "m3")) {
-            scheduler.report(host)
-            scheduler.deal(host)
+        for (machineName in listOf("m1", "m2", "m3")) {
+            scheduler.heartbeat(machineName)
+            scheduler.dispatch(machineName)
             // Until then, new work waits for a machine that has its image.
             scheduler.now += 2.seconds
         }
@@ -138,28 +138,28 @@
                 .machine("m2")
                 .assignments.keys
                 .toSet()
-        val ended = scheduler.orders("m3").filterIsInstance<Order.Start>().first()
+        val ended = scheduler.commands("m3").filterIsInstance<WorkerCommand.Start>().first()
         val kept =
             scheduler
                 .machine("m3")
                 .assignments.values
                 .filter { it.id != ended.task }
         scheduler.scheduler.forget(scheduler.machine("m2"), scheduler.now)
-        scheduler.report(
+        scheduler.heartbeat(
             "m3",
-            TestScheduler.ended(ended.task, ended.attempt, Cause.DONE),
+            TestScheduler.ended(ended.task, ended.attempt, ExitCause.DONE),
             *kept.map { TestScheduler.running(it.id, it.attempt) }.toTypedArray(),
         )
         scheduler.now += 5.seconds
-        scheduler.report("m4", type = "large")
-        scheduler.deal("m4")
+        scheduler.heartbeat("m4", type = "large")
+        scheduler.dispatch("m4")
         scheduler.write()
         val comparison = RecordComparison(before, scheduler.recorded())
         for (task in onM2) assertEquals(TaskChange.STARTED_AGAIN, comparison.tasks[task], "$task")
         assertEquals(TaskChange.NOT_PLACED, comparison.tasks[ended.task])
         assertEquals(6 - onM2.size - 1, comparison.count(TaskChange.RAN_ON))
         assertEquals(emptySet<Any>(), comparison.lostProgress)
-        assertTrue(HostName("m2") in comparison.emptiedMachines)
+        assertTrue(MachineName("m2") in comparison.emptiedMachines)
         val reversed = RecordComparison(scheduler.recorded(), before)
         assertEquals(setOf(ended.task.job), reversed.lostProgress)
         assertTrue("LOST PROGRESS: ${ended.task.job.value}" in reversed.toText())
@@ -168,7 +168,7 @@
     @Test
     fun `the command tells a damaged file in one line`() {
         val settings = directory.resolve("settings.json")
-        Files.writeString(settings, Samples.settingsJson("c-0"))
+        Files.writeString(settings, Fixtures.settingsJson("c-0"))
         val file = directory.resolve("records.zst")
         ArchiveFile.write(archive(Random(3)), file)
         assertEquals(0, run("records", "show", "--config", "$settings", "$file").first)
--- a/src/test/kotlin/umberslip/dispatch/BusyFleet.kt
+++ b/src/test/kotlin/umberslip/scheduling/BusyCluster.kt
@@ -1,38 +1,38 @@
-package umberslip.dispatch
+package umberslip.scheduling
 
-import umberslip.agents.Cause
+import umberslip.agents.ExitCause
 import umberslip.agents.ReportedTask
-import umberslip.cloud.HostName
-import umberslip.records.TaskId
+import umberslip.core.MachineName
+import umberslip.core.TaskId
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
 /** Machines of 16 processors that run what they are told to, each task for as long as its job expects. */
-class BusyFleet(
+class BusyCluster(
     private val t: TestScheduler,
     machines: Int,
     /** Whether a task fails instead of completing, and after how long. */
     private val failsAfter: (Assignment) -> Duration? = { null },
 ) {
-    private val hosts = List(machines) { "m$it" }
+    private val machineNames = List(machines) { "m$it" }
     private val began = HashMap<Pair<TaskId, Long>, Duration>()
     val cpus = machines * PROCESSORS
 
     /** How many tasks were started so far. */
     val starts: Int get() = began.size
 
-    /** One second passes: every machine reports, is dealt to, and all that is due is written. */
+    /** One second passes: every machine heartbeats, is dispatched to, and all that is due is written. */
     fun step() {
-        for (host in hosts) {
-            t.report(host, *reported(host), type = "large")
-            t.deal(host)
+        for (machineName in machineNames) {
+            t.heartbeat(machineName, *reported(machineName), type = "large")
+            t.dispatch(machineName)
         }
         t.write()
         t.tick()
     }
 
-    private fun reported(host: String): Array<ReportedTask> {
-        val machine = t.scheduler.machines[HostName(host)]
+    private fun reported(machineName: String): Array<ReportedTask> {
+        val machine = t.scheduler.machines[MachineName(machineName)]
         val recorded =
             machine
                 ?.assignments
@@ -47,9 +47,9 @@
         val ranFor = t.now - began.getOrPut(id to assignment.attempt) { t.now }
         val failure = failsAfter(assignment)
         return when {
-            failure != null && ranFor >= failure -> TestScheduler.ended(id, assignment.attempt, Cause.ERROR)
+            failure != null && ranFor >= failure -> TestScheduler.ended(id, assignment.attempt, ExitCause.ERROR)
             ranFor >= assignment.job.spec.expectedSeconds.seconds ->
-                TestScheduler.ended(id, assignment.attempt, Cause.DONE)
+                TestScheduler.ended(id, assignment.attempt, ExitCause.DONE)
             else -> TestScheduler.running(id, assignment.attempt)
         }
     }
--- a/src/test/kotlin/umberslip/dispatch/PipelinesTest.kt
+++ b/src/test/kotlin/umberslip/scheduling/DependencyGraphTest.kt
@@ -1,4 +1,4 @@
-package umberslip.dispatch
+package umberslip.scheduling
 
 import io.kotest.property.Arb
 import io.kotest.property.PropTestConfig
@@ -8,23 +8,23 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
-import umberslip.agents.Cause
-import umberslip.agents.Order
+import umberslip.agents.ExitCause
+import umberslip.agents.WorkerCommand
+import umberslip.core.JobId
+import umberslip.core.JobSpec
+import umberslip.core.Priority
 import umberslip.records.DependencyState
-import umberslip.records.End
-import umberslip.records.JobId
+import umberslip.records.JobOutcome
 import umberslip.records.JobRecord
-import umberslip.records.JobSpec
-import umberslip.records.Urgency
 import umberslip.records.Versioned
-import umberslip.sim.Samples
-import umberslip.state.Version
+import umberslip.sim.Fixtures
+import umberslip.store.Version
 import java.time.Instant
 import kotlin.random.Random
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-class PipelinesTest {
+class DependencyGraphTest {
     /** Chains, diamonds, wide fan-in and fan-out, and all between; a job needs only such as came before. */
     private fun graph(random: Random): List<JobSpec> {
         val most = listOf(1, 2, 6)[random.nextInt(3)]
@@ -32,11 +32,11 @@
         repeat(random.nextInt(2, 25)) { n ->
             val among = if (random.nextInt(3) == 0) specs.take(1) else specs.takeLast(1 + most)
             specs +=
-                Samples.job(random, n).copy(
+                Fixtures.job(random, n).copy(
                     tasks = 1,
-                    dueSeconds = if (random.nextInt(3) == 0) random.nextInt(50, 500).toDouble() else null,
+                    deadlineSeconds = if (random.nextInt(3) == 0) random.nextInt(50, 500).toDouble() else null,
                     expectedSeconds = random.nextInt(1, 20).toDouble(),
-                    awaits = among.shuffled(random).take(random.nextInt(0, most + 1)).map { it.id },
+                    dependencies = among.shuffled(random).take(random.nextInt(0, most + 1)).map { it.id },
                 )
         }
         return specs
@@ -67,25 +67,25 @@
 
         fun dependencyCancelled(id: JobId): Boolean =
             once("off", id) {
-                specs.getValue(id).awaits.any { it in cancelled || dependencyCancelled(it) }
+                specs.getValue(id).dependencies.any { it in cancelled || dependencyCancelled(it) }
             }
 
-        fun held(id: JobId): Boolean = specs.getValue(id).awaits.any { it !in done }
+        fun held(id: JobId): Boolean = specs.getValue(id).dependencies.any { it !in done }
 
         fun open(id: JobId): Boolean = id !in done && id !in cancelled && !dependencyCancelled(id)
 
         private fun dependents(
             id: JobId,
             among: Set<JobId>,
-        ): List<JobId> = among.filter { open(it) && id in specs.getValue(it).awaits }
+        ): List<JobId> = among.filter { open(it) && id in specs.getValue(it).dependencies }
 
-        fun urgency(
+        fun priority(
             id: JobId,
             among: Set<JobId>,
-        ): Urgency =
+        ): Priority =
             once("urgency", id) {
-                val inherited = dependents(id, among).map { urgency(it, among) }
-                (inherited + specs.getValue(id).urgency).min()
+                val inherited = dependents(id, among).map { priority(it, among) }
+                (inherited + specs.getValue(id).priority).min()
             }
 
         /** The earliest of the deadlines that it has for others. */
@@ -98,7 +98,7 @@
                     .mapNotNull { d ->
                         val spec = specs.getValue(d)
                         listOfNotNull(
-                            spec.dueSeconds?.seconds,
+                            spec.deadlineSeconds?.seconds,
                             inherited(d, among),
                         ).minOrNull()?.minus(spec.expectedSeconds.seconds)
                     }.minOrNull()
@@ -113,8 +113,8 @@
                 val specs = graph(random)
                 val model = Model(specs.associateBy { it.id })
                 val jobs = LinkedHashMap<JobId, RunningJob>()
-                val pipelines = Pipelines(jobs)
-                // A new owner meets them in any order; else they come one after the other while others end.
+                val dependencyGraph = DependencyGraph(jobs)
+                // A new leader meets them in any order; else they come one after the other while others end.
                 val takenOver = random.nextBoolean()
                 val toCome = ArrayDeque(if (takenOver) specs.shuffled(random) else specs)
                 while (toCome.isNotEmpty() || jobs.keys.any(model::open)) {
@@ -122,7 +122,7 @@
                     when {
                         toCome.isNotEmpty() && (takenOver || ready.isEmpty() || random.nextInt(3) > 0) -> {
                             val spec = toCome.removeFirst()
-                            val due = listOfNotNull(spec.dueSeconds?.seconds)
+                            val due = listOfNotNull(spec.deadlineSeconds?.seconds)
                             val job =
                                 RunningJob(
                                     spec,
@@ -134,7 +134,7 @@
                                 )
                             jobs[spec.id] = job
                             model.changed()
-                            pipelines.came(job)
+                            dependencyGraph.came(job)
                         }
                         random.nextInt(8) == 0 -> {
                             val id = jobs.keys.filter(model::open).random(random)
@@ -142,33 +142,33 @@
                             model.changed()
                             val job = jobs.getValue(id)
                             job.record = Versioned(job.record.value.copy(cancelled = true), Version(2))
-                            pipelines.cancelDependents(job)
+                            dependencyGraph.cancelDependents(job)
                         }
                         else -> {
                             val id = ready.random(random)
                             model.done += id
                             model.changed()
-                            pipelines.gone(jobs.remove(id) ?: error("not there"))
-                            pipelines.ended(id, End.DONE)
+                            dependencyGraph.gone(jobs.remove(id) ?: error("not there"))
+                            dependencyGraph.ended(id, JobOutcome.DONE)
                         }
                     }
                     // The records of those that were called off go, too, sooner or later.
                     for (id in jobs.keys.filter { it in model.cancelled || model.dependencyCancelled(it) }) {
                         if (random.nextInt(4) == 0) {
-                            pipelines.gone(jobs.remove(id) ?: error("not there"))
+                            dependencyGraph.gone(jobs.remove(id) ?: error("not there"))
                             model.changed()
-                            if (random.nextBoolean()) pipelines.ended(id, End.CANCELLED)
+                            if (random.nextBoolean()) dependencyGraph.ended(id, JobOutcome.CANCELLED)
                         }
                     }
                     // What was over before its successors came is read.
-                    for (id in pipelines.unread.toList()) {
+                    for (id in dependencyGraph.unread.toList()) {
                         if (id in model.done) {
-                            pipelines.ended(id, End.DONE)
+                            dependencyGraph.ended(id, JobOutcome.DONE)
                         } else if (id in model.cancelled || (id !in jobs && toCome.none { it.id == id })) {
-                            pipelines.ended(id, End.CANCELLED)
+                            dependencyGraph.ended(id, JobOutcome.CANCELLED)
                         }
                     }
-                    for ((job, rank) in pipelines.rerank()) job.rank(rank.urgency, rank.deadlines, Duration.ZERO)
+                    for ((job, rank) in dependencyGraph.inheritPriorities()) job.rank(rank.priority, rank.deadlines, Duration.ZERO)
                     for ((id, job) in jobs) check(id, job, model, jobs, toCome.isEmpty() || !takenOver)
                 }
             }
@@ -187,17 +187,17 @@
         assertEquals(model.dependencyCancelled(id), job.dependencyCancelled, "$id called off")
         if (job.dependencyCancelled) return
         assertEquals(model.held(id), job.held, "$id held")
-        assertEquals(model.urgency(id, jobs.keys), job.urgency, "$id urgency")
-        val own = job.spec.dueSeconds?.seconds ?: 3600.seconds
+        assertEquals(model.priority(id, jobs.keys), job.priority, "$id urgency")
+        val own = job.spec.deadlineSeconds?.seconds ?: 3600.seconds
         assertEquals(listOfNotNull(own, model.inherited(id, jobs.keys)).min(), job.due, "$id due")
         val lineage =
             DependencyState.of(job.record.value, { jobs[it]?.record?.value }) {
                 if (it in model.done) {
-                    End.DONE
+                    JobOutcome.DONE
                 } else if (it in jobs) {
                     null
                 } else {
-                    End.CANCELLED
+                    JobOutcome.CANCELLED
                 }
             }
         assertEquals(DependencyState.Open, lineage)
@@ -207,21 +207,21 @@
     fun `a job that needs a cancelled one is called off however far away it is, and what is not known is asked for`() {
         val specs =
             List(2000) { n ->
-                Samples.job(Random(n), n).copy(
-                    awaits = if (n == 0) emptyList() else listOf(JobId("run-%06d".format(n - 1))),
+                Fixtures.job(Random(n), n).copy(
+                    dependencies = if (n == 0) emptyList() else listOf(JobId("run-%06d".format(n - 1))),
                 )
             }
         val records = specs.associate { it.id to JobRecord(it, Instant.EPOCH, false) }
 
-        fun of(first: End?) =
+        fun of(first: JobOutcome?) =
             DependencyState.of(
                 records.getValue(specs.last().id),
                 { id -> records[id].takeIf { id != specs[0].id } },
             ) {
                 first.takeIf { _ -> it == specs[0].id }
             }
-        assertEquals(DependencyState.Cancelled, of(End.CANCELLED))
-        assertEquals(DependencyState.Open, of(End.DONE))
+        assertEquals(DependencyState.Cancelled, of(JobOutcome.CANCELLED))
+        assertEquals(DependencyState.Open, of(JobOutcome.DONE))
         assertEquals(DependencyState.Unread(setOf(specs[0].id)), of(null))
         val called =
             DependencyState.of(
@@ -235,9 +235,9 @@
     fun `nothing of a job is placed before the end of what it needs is recorded`() {
         val t = TestScheduler()
         val first = t.job { it.copy(tasks = 1) }
-        val second = t.job { it.copy(tasks = 1, awaits = listOf(first.spec.id), urgency = Urgency.HIGH) }
-        t.report("m")
-        t.deal("m")
+        val second = t.job { it.copy(tasks = 1, dependencies = listOf(first.spec.id), priority = Priority.HIGH) }
+        t.heartbeat("m")
+        t.dispatch("m")
         t.write()
         assertEquals(
             listOf(first.spec.id),
@@ -251,8 +251,8 @@
                 .machine("m")
                 .assignments.values
                 .single()
-        t.report("m", TestScheduler.ended(a.id, a.attempt, Cause.DONE))
-        t.deal("m")
+        t.heartbeat("m", TestScheduler.ended(a.id, a.attempt, ExitCause.DONE))
+        t.dispatch("m")
         assertTrue(first.finished, "done, and not recorded yet")
         assertTrue(t.machine("m").assignments.isEmpty())
         assertEquals(
@@ -266,7 +266,7 @@
             "it holds nothing",
         )
         t.write()
-        t.deal("m")
+        t.dispatch("m")
         assertEquals(
             listOf(second.spec.id),
             t
@@ -274,21 +274,21 @@
                 .assignments.keys
                 .map { it.job },
         )
-        assertEquals(t.now, second.cameAt, "its times count from now on")
+        assertEquals(t.now, second.runnableSince, "its times count from now on")
     }
 
     @Test
     fun `those after a cancelled job end without a start, as the records say to a successor, too`() {
         val t = TestScheduler()
         val first = t.job { it.copy(tasks = 1) }
-        val second = t.job { it.copy(awaits = listOf(first.spec.id)) }
-        val third = t.job { it.copy(awaits = listOf(second.spec.id)) }
+        val second = t.job { it.copy(dependencies = listOf(first.spec.id)) }
+        val third = t.job { it.copy(dependencies = listOf(second.spec.id)) }
         t.cancel(first)
         assertTrue(second.dependencyCancelled && third.dependencyCancelled)
-        t.report("m")
-        t.deal("m")
+        t.heartbeat("m")
+        t.dispatch("m")
         t.write()
-        assertEquals(emptyList<Order>(), t.orders("m"))
+        assertEquals(emptyList<WorkerCommand>(), t.commands("m"))
         assertTrue(t.scheduler.jobs.isEmpty())
         assertEquals(
             setOf("end/${second.spec.id.value}", "end/${third.spec.id.value}"),
@@ -300,19 +300,19 @@
     }
 
     @Test
-    fun `a new owner asks how those ended that its jobs need`() {
+    fun `a new leader asks how those ended that its jobs need`() {
         val t = TestScheduler()
         val gone = JobId("run-900000")
-        val job = t.job { it.copy(tasks = 1, awaits = listOf(gone)) }
-        t.report("m")
-        t.deal("m")
-        assertEquals(setOf(gone), t.scheduler.pipelines.unread)
+        val job = t.job { it.copy(tasks = 1, dependencies = listOf(gone)) }
+        t.heartbeat("m")
+        t.dispatch("m")
+        assertEquals(setOf(gone), t.scheduler.dependencyGraph.unread)
         assertTrue(t.machine("m").assignments.isEmpty())
-        t.scheduler.ended(gone, End.DONE, t.now)
-        t.deal("m")
+        t.scheduler.ended(gone, JobOutcome.DONE, t.now)
+        t.dispatch("m")
         assertEquals(1, job.assigned.size)
         assertTrue(
-            t.scheduler.pipelines.unread
+            t.scheduler.dependencyGraph.unread
                 .isEmpty(),
         )
     }
--- a/src/test/kotlin/umberslip/dispatch/DispatcherTest.kt
+++ b/src/test/kotlin/umberslip/scheduling/DispatcherTest.kt
@@ -1,4 +1,4 @@
-package umberslip.dispatch
+package umberslip.scheduling
 
 import io.kotest.property.Arb
 import io.kotest.property.PropTestConfig
@@ -8,11 +8,10 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
-import umberslip.agents.Cause
-import umberslip.cloud.HostName
-import umberslip.records.TaskId
-import umberslip.records.Urgency
+import umberslip.core.Priority
+import umberslip.core.Resources
 import umberslip.settings.TeamSettings
+import umberslip.sim.Fixtures
 import kotlin.math.abs
 import kotlin.random.Random
 import kotlin.time.Duration
@@ -36,29 +35,29 @@
             ) { a, b, size ->
                 val t = TestScheduler()
                 val one = t.job { it.copy(cpus = size.toDouble()) }
-                val other = t.job { it.copy(cpus = 1.0, urgency = one.spec.urgency) }
-                val x = team("x", a * 10.0).also { it.take(umberslip.agents.Room(1e6, 0.0, 0.0)) }
-                val y = team("y", b * 10.0).also { it.take(umberslip.agents.Room(1e6, 0.0, 0.0)) }
-                val dealt = HashMap<Dispatcher, Double>()
+                val other = t.job { it.copy(cpus = 1.0, priority = one.spec.priority) }
+                val x = team("x", a * 10.0).also { it.take(Resources(1e6, 0.0, 0.0)) }
+                val y = team("y", b * 10.0).also { it.take(Resources(1e6, 0.0, 0.0)) }
+                val dispatched = HashMap<Dispatcher, Double>()
                 repeat(2000) {
-                    val next = Turns.next(mapOf(x to one, y to other)) ?: error("nobody's turn")
-                    dealt.merge(next, if (next === x) size.toDouble() else 1.0, Double::plus)
+                    val next = WeightedRoundRobin.next(mapOf(x to one, y to other)) ?: error("nobody's turn")
+                    dispatched.merge(next, if (next === x) size.toDouble() else 1.0, Double::plus)
                 }
-                val share = (dealt[x] ?: 0.0) / dealt.values.sum()
+                val share = (dispatched[x] ?: 0.0) / dispatched.values.sum()
                 assertTrue(abs(share - a.toDouble() / (a + b)) < 0.02, "$share for $a of ${a + b}")
             }
         }
 
     @Test
-    fun `teams below their guarantee go first, then the most urgent`() {
+    fun `teams below their guarantee go first, then the highest priority`() {
         val t = TestScheduler()
-        val urgent = t.job { it.copy(urgency = Urgency.HIGH) }
-        val idle = t.job { it.copy(urgency = Urgency.IDLE) }
+        val urgent = t.job { it.copy(priority = Priority.HIGH) }
+        val idle = t.job { it.copy(priority = Priority.IDLE) }
         val owed = team("owed", 10.0)
         val none = team("none", 0.0)
         val also = team("also", 0.0)
-        assertEquals(owed, Turns.next(mapOf(none to urgent, owed to idle)))
-        assertEquals(none, Turns.next(mapOf(none to urgent, also to idle)))
+        assertEquals(owed, WeightedRoundRobin.next(mapOf(none to urgent, owed to idle)))
+        assertEquals(none, WeightedRoundRobin.next(mapOf(none to urgent, also to idle)))
     }
 
     @Test
@@ -67,21 +66,21 @@
             val random = Random(seed)
             val t = TestScheduler()
             repeat(8) {
-                umberslip.sim.Samples
+                Fixtures
                     .job(random, it)
                     .let { s -> t.job { _ -> s } }
             }
             for (i in 0..7) {
                 val (type, zone) = listOf("small", "large").random(random) to listOf("east", "west").random(random)
-                t.report("m$i", type = type, zone = zone, spot = random.nextBoolean())
-                t.deal("m$i")
+                t.heartbeat("m$i", type = type, zone = zone, spot = random.nextBoolean())
+                t.dispatch("m$i")
             }
             for (dispatcher in t.scheduler.teams.values) {
                 val used =
                     t.scheduler.machines.values
                         .flatMap { it.assignments.values }
                         .filter { it.job.spec.team == dispatcher.team.name }
-                        .sumOf { it.room.cpus }
+                        .sumOf { it.resources.cpus }
                 assertEquals(used, dispatcher.usedCpus, 1e-6)
                 dispatcher.team.cpusMax?.let { assertTrue(used <= it + 1e-6) }
             }
@@ -89,7 +88,7 @@
                 assertTrue(m.capacity?.covers(m.used) == true, "seed $seed: ${m.name} is overfull")
                 for (a in m.assignments.values) {
                     assertTrue(
-                        a.job.spec.types
+                        a.job.spec.instanceTypes
                             ?.contains(m.type) != false &&
                             a.job.spec.zone
                                 .let { it == null || it == m.zone },
@@ -106,7 +105,7 @@
 
     /**
      * Work keeps coming faster than the machines can do it, the more urgent the more of it. Whatever
-     * its urgency, team and size, and however late it comes, a job begins within four minutes, and of
+     * its priority, team and size, and however late it comes, a job begins within four minutes, and of
      * each class at least half is done.
      */
     @Test
@@ -114,37 +113,37 @@
         for (seed in 1..12) {
             val random = Random(seed)
             val t = TestScheduler()
-            val fleet = BusyFleet(t, machines = 6)
+            val fleet = BusyCluster(t, machines = 6)
             val cpus = fleet.cpus
-            val urgent = listOf(Urgency.CRITICAL, Urgency.HIGH, Urgency.NORMAL).random(random)
-            val load = mapOf(urgent to 0.6 + random.nextDouble() * 0.3, Urgency.IDLE to 0.4)
-            val owed = HashMap<Urgency, Double>()
+            val urgent = listOf(Priority.CRITICAL, Priority.HIGH, Priority.NORMAL).random(random)
+            val load = mapOf(urgent to 0.6 + random.nextDouble() * 0.3, Priority.IDLE to 0.4)
+            val owed = HashMap<Priority, Double>()
             val came = HashMap<RunningJob, Duration>()
             val began = HashMap<RunningJob, Duration>()
             val start = t.now
             for (second in 1..700) {
                 t.now += 1.seconds
-                for ((urgency, share) in load) {
-                    val more = (owed[urgency] ?: 0.0) + share * cpus
+                for ((priority, share) in load) {
+                    val more = (owed[priority] ?: 0.0) + share * cpus
                     // The largest comes last and is of the least urgent kind.
-                    val largest = second == 450 && urgency == Urgency.IDLE
+                    val largest = second == 450 && priority == Priority.IDLE
                     val tasks = if (largest) 120 else random.nextInt(4, 40)
                     val seconds = random.nextInt(5, 15)
                     if (second <= 450 && (largest || more > tasks * seconds)) {
                         val job =
                             t.job {
                                 it.copy(
-                                    urgency = urgency,
+                                    priority = priority,
                                     tasks = tasks,
                                     team = if (random.nextInt(8) == 0) "blue" else "green",
                                     expectedSeconds = seconds.toDouble(),
-                                    dueSeconds = 60.0,
+                                    deadlineSeconds = 60.0,
                                 )
                             }
                         came[job] = t.now
-                        owed[urgency] = more - tasks * seconds
+                        owed[priority] = more - tasks * seconds
                     } else {
-                        owed[urgency] = more
+                        owed[priority] = more
                     }
                 }
                 fleet.step()
@@ -154,14 +153,14 @@
                 val wait = (began[job] ?: (t.now + 1.seconds)) - at
                 assertTrue(
                     wait < 240.seconds,
-                    "seed $seed: ${job.spec.urgency} job of team ${job.spec.team} of ${job.spec.tasks} tasks " +
+                    "seed $seed: ${job.spec.priority} job of team ${job.spec.team} of ${job.spec.tasks} tasks " +
                         "that came after ${at - start} waited $wait to begin",
                 )
             }
-            for ((urgency, jobs) in came.keys.groupBy { it.spec.urgency }) {
+            for ((priority, jobs) in came.keys.groupBy { it.spec.priority }) {
                 assertTrue(
                     jobs.sumOf { it.doneCount } * 2 >= jobs.sumOf { it.spec.tasks },
-                    "seed $seed: of $urgency only ${jobs.sumOf { it.doneCount }} " +
+                    "seed $seed: of $priority only ${jobs.sumOf { it.doneCount }} " +
                         "of ${jobs.sumOf { it.spec.tasks }} tasks were done",
                 )
             }
--- a/src/test/kotlin/umberslip/dispatch/FailureTrackerTest.kt
+++ b/src/test/kotlin/umberslip/scheduling/FailureTrackerTest.kt
@@ -1,11 +1,10 @@
-package umberslip.dispatch
+package umberslip.scheduling
 
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
-import umberslip.fleet.FleetView
-import umberslip.records.Urgency
+import umberslip.core.Priority
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
@@ -16,9 +15,9 @@
 class FailureTrackerTest {
     private val t = TestScheduler()
     private val broken = HashSet<RunningJob>()
-    private val sickHosts = HashSet<String>()
+    private val faultyMachines = HashSet<String>()
     private val fleet =
-        BusyFleet(t, machines = 8) { a -> if (a.job in broken || a.host.value in sickHosts) FAILS_AFTER else null }
+        BusyCluster(t, machines = 8) { a -> if (a.job in broken || a.machineName.value in faultyMachines) FAILS_AFTER else null }
 
     private fun pass(seconds: Int) =
         repeat(seconds) {
@@ -26,11 +25,11 @@
             fleet.step()
         }
 
-    private fun brokenJob(tasks: Int) = t.job { it.copy(tasks = tasks, urgency = Urgency.HIGH) }.also { broken += it }
+    private fun brokenJob(tasks: Int) = t.job { it.copy(tasks = tasks, priority = Priority.HIGH) }.also { broken += it }
 
     private fun sick() =
         t.scheduler.machines.values
-            .filter { it.sick }
+            .filter { it.isQuarantined }
             .map { it.name.value }
 
     @Test
@@ -59,15 +58,15 @@
     fun `a job in doubt is a reason for one machine at most`() {
         val job = brokenJob(tasks = 200)
         pass(20)
-        assertTrue(job.isDoubtful)
-        t.now = job.notBefore + 1.seconds
-        val waiting = FleetView.of(t.scheduler, t.now).waiting
+        assertTrue(job.isQuarantined)
+        t.now = job.retryAfter + 1.seconds
+        val waiting = ClusterSnapshot.of(t.scheduler, t.now).waiting
         assertTrue(waiting.sumOf { it.tasks } <= 1, "$waiting")
     }
 
     @Test
     fun `machines that fail the tasks of all jobs are told apart, also before any job has succeeded`() {
-        sickHosts += listOf("m2", "m5")
+        faultyMachines += listOf("m2", "m5")
         val jobs = List(6) { t.job { job -> job.copy(tasks = 20, expectedSeconds = 40.0) } }
         pass(30)
         assertEquals(listOf("m2", "m5"), sick().sorted())
@@ -78,10 +77,10 @@
 
     @Test
     fun `a task that keeps running shows that its job is sound`() {
-        sickHosts += listOf("m0", "m1")
+        faultyMachines += listOf("m0", "m1")
         val job = t.job { it.copy(tasks = 3, cpus = 16.0, expectedSeconds = 200.0) }
         pass(60)
-        assertFalse(job.isDoubtful)
+        assertFalse(job.isQuarantined)
         assertEquals(3, job.assigned.size, "the failed tasks are tried again beside the one that runs")
     }
 
--- a/src/test/kotlin/umberslip/dispatch/LogCompactionTest.kt
+++ b/src/test/kotlin/umberslip/scheduling/LogCompactionTest.kt
@@ -1,4 +1,4 @@
-package umberslip.dispatch
+package umberslip.scheduling
 
 import io.kotest.property.Arb
 import io.kotest.property.PropTestConfig
@@ -9,39 +9,39 @@
 import org.junit.jupiter.api.Assertions.assertFalse
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
-import umberslip.agents.Cause
+import umberslip.agents.ExitCause
 import umberslip.agents.ReportedTask
-import umberslip.records.Ended
-import umberslip.records.JobId
-import umberslip.records.JobSpec
+import umberslip.core.JobId
+import umberslip.core.JobSpec
+import umberslip.core.Shape
+import umberslip.core.TaskId
 import umberslip.records.Keys
-import umberslip.records.Replica
-import umberslip.records.Shape
-import umberslip.records.TaskId
-import umberslip.sim.Samples
+import umberslip.records.LoggedExit
+import umberslip.records.RecordReplica
+import umberslip.sim.Fixtures
 import kotlin.random.Random
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** The log under limits so small that a chunk's own record does not fit while most of its tasks run. */
+/** The log under limits so small that a progress record does not fit while most of its tasks run. */
 class LogCompactionTest {
-    private val replica = Replica()
-    private val owner = TestScheduler(replica = replica, settingsJson = Samples.loweredJson("c-0"), logSlots = 80)
+    private val replica = RecordReplica()
+    private val leader = TestScheduler(replica = replica, settingsJson = Fixtures.loweredJson("c-0"), logSlots = 80)
 
     /** The highest attempt number of each job that was ever recorded. */
     private val highestRecorded = HashMap<JobId, Long>()
 
-    private fun service(tasks: Int) = array(tasks) { it.copy(shape = Shape.DAEMON, dueSeconds = null) }
+    private fun service(tasks: Int) = array(tasks) { it.copy(shape = Shape.DAEMON, deadlineSeconds = null) }
 
     private fun array(
         tasks: Int,
         change: (JobSpec) -> JobSpec = { it },
-    ) = owner.job { change(it.copy(tasks = tasks, cpus = 0.01, memoryGb = 0.01)) }
+    ) = leader.job { change(it.copy(tasks = tasks, cpus = 0.01, memoryGb = 0.01)) }
 
-    /** The machine reports all of its tasks as running but for those that ended, and gets new ones. */
+    /** The machine heartbeats all of its tasks as running but for those that ended, and gets new ones. */
     private fun round(
         scheduler: TestScheduler,
-        ended: Map<TaskId, Cause>,
+        ended: Map<TaskId, ExitCause>,
     ) {
         scheduler.now += 100.milliseconds
         val tasks =
@@ -52,15 +52,15 @@
                 ?.toList()
                 .orEmpty()
         val reported = tasks.map { task -> reported(task, ended[task.id]) }
-        scheduler.report("m", *reported.toTypedArray())
-        scheduler.deal("m")
+        scheduler.heartbeat("m", *reported.toTypedArray())
+        scheduler.dispatch("m")
         scheduler.write()
         for ((task, attempt) in placements(scheduler)) highestRecorded.merge(task.job, attempt, ::maxOf)
     }
 
     private fun reported(
         task: Assignment,
-        cause: Cause?,
+        cause: ExitCause?,
     ): ReportedTask =
         if (cause == null) {
             TestScheduler.running(task.id, task.attempt)
@@ -82,38 +82,38 @@
     @Test
     fun `starts go on however often the tasks of a service are replaced`() {
         val service = service(tasks = 100)
-        round(owner, emptyMap())
+        round(leader, emptyMap())
         assertEquals(100, service.assigned.size)
         val random = Random(1)
         repeat(300) { n ->
             val task = service.assigned.values.random(random)
-            round(owner, mapOf(task.id to Cause.HALTED))
-            assertFalse(owner.scheduler.hasUnrecorded(owner.machine("m")), "round $n: a start waits for its record")
+            round(leader, mapOf(task.id to ExitCause.STOPPED))
+            assertFalse(leader.scheduler.hasUnrecorded(leader.machine("m")), "round $n: a start waits for its record")
         }
-        assertTrue(owner.written.none { it.key == Keys.chunk(service.spec.id, 0) }, "its own record never fitted")
-        assertEquals(placements(owner), placements(owner.successor()))
+        assertTrue(leader.written.none { it.key == Keys.progress(service.spec.id, 0) }, "its own record never fitted")
+        assertEquals(placements(leader), placements(leader.successor()))
     }
 
     @Test
     fun `a copy keeps the highest attempt number readable after its task has ended`() {
         val job = array(tasks = 3)
-        round(owner, emptyMap())
+        round(leader, emptyMap())
         val last = job.assigned.values.maxBy { it.attempt }
-        owner.now += 100.milliseconds
-        owner.report(
+        leader.now += 100.milliseconds
+        leader.heartbeat(
             "m",
             *job.assigned.values
-                .map { reported(it, Cause.HALTED.takeIf { _ -> it === last }) }
+                .map { reported(it, ExitCause.STOPPED.takeIf { _ -> it === last }) }
                 .toTypedArray(),
         )
-        val row = ChunkCopy(job.chunk(0)).rows(valueBytes = 1024).single()
+        val row = LogCompaction(job.block(0)).rows(valueBytes = 1024).single()
         assertEquals(
             job.assigned.values
                 .map { it.attempt }
                 .toSet() + last.attempt,
             row.starts.map { it.attempt }.toSet(),
         )
-        assertEquals(listOf(Ended(last.index, last.attempt, false)), row.ends, "and does not call it running")
+        assertEquals(listOf(LoggedExit(last.index, last.attempt, false)), row.ends, "and does not call it running")
     }
 
     @Test
@@ -122,16 +122,16 @@
             var compacted = 0
             checkAll(PropTestConfig(seed = 31, iterations = 20), Arb.long()) { seed ->
                 val random = Random(seed)
-                val scene = LogCompactionTest()
-                repeat(random.nextInt(0, 2)) { scene.service(tasks = random.nextInt(30, 110)) }
-                repeat(random.nextInt(1, 3)) { scene.array(tasks = random.nextInt(60, 110)) }
-                var scheduler = scene.owner
+                val scenario = LogCompactionTest()
+                repeat(random.nextInt(0, 2)) { scenario.service(tasks = random.nextInt(30, 110)) }
+                repeat(random.nextInt(1, 3)) { scenario.array(tasks = random.nextInt(60, 110)) }
+                var scheduler = scenario.leader
                 repeat(300) {
                     val running = placements(scheduler).keys
                     val ended = running.shuffled(random).take(random.nextInt(0, 4))
-                    // More jobs at once than one batch has guards for.
+                    // More jobs at once than one batch has preconditions for.
                     if (random.nextInt(40) == 0) repeat(15) { scheduler.job { it.copy(tasks = 1, cpus = 0.01) } }
-                    scene.round(scheduler, ended.associateWith { scene.causeFor(scheduler, it, random) })
+                    scenario.round(scheduler, ended.associateWith { scenario.causeFor(scheduler, it, random) })
                     if (random.nextInt(60) == 0) scheduler = scheduler.successor()
                 }
                 // Ends wait for a second at most before they are logged.
@@ -141,29 +141,29 @@
                 val successor = scheduler.successor()
                 val difference = done(scheduler).filter { (job, tasks) -> done(successor)[job] != tasks }
                 assertEquals(emptyMap<String, List<Int>>(), difference, "seed $seed: done")
-                // What ended may be read as running, and is settled by the next report; what runs must be known.
+                // What ended may be read as running, and is settled by the next heartbeat; what runs must be known.
                 val read = placements(successor)
                 for ((task, attempt) in placements(scheduler)) assertEquals(attempt, read[task], "seed $seed: $task")
                 for (job in scheduler.scheduler.jobs.values) {
                     val known = successor.scheduler.jobs.getValue(job.spec.id)
-                    val highest = scene.highestRecorded[job.spec.id] ?: 0L
+                    val highest = scenario.highestRecorded[job.spec.id] ?: 0L
                     assertTrue(known.highestAttempt() >= highest, "seed $seed: attempts only rise")
                 }
             }
             assertTrue(compacted >= 5, "the log was compacted in $compacted runs")
         }
 
-    private fun TestScheduler.hasCopies() = scheduler.jobs.values.any { job -> job.knownChunks().any { it.copied > 0 } }
+    private fun TestScheduler.hasCopies() = scheduler.jobs.values.any { job -> job.knownBlocks().any { it.copied > 0 } }
 
     private fun causeFor(
         scheduler: TestScheduler,
         task: TaskId,
         random: Random,
-    ): Cause {
+    ): ExitCause {
         val isService =
             scheduler.scheduler.jobs
                 .getValue(task.job)
                 .spec.shape == Shape.DAEMON
-        return if (isService || random.nextInt(8) > 0) Cause.HALTED else Cause.DONE
+        return if (isService || random.nextInt(8) > 0) ExitCause.STOPPED else ExitCause.DONE
     }
 }
--- a/src/test/kotlin/umberslip/dispatch/StarvationTest.kt
+++ b/src/test/kotlin/umberslip/scheduling/StarvationTest.kt
@@ -1,8 +1,8 @@
-package umberslip.dispatch
+package umberslip.scheduling
 
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
-import umberslip.records.Urgency
+import umberslip.core.Priority
 import kotlin.random.Random
 import kotlin.time.Duration.Companion.seconds
 
@@ -20,7 +20,7 @@
     private fun play(seed: Int) {
         val random = Random(seed)
         val t = TestScheduler()
-        val fleet = BusyFleet(t, machines = 12)
+        val fleet = BusyCluster(t, machines = 12)
         var owed = 0.0
         val large = ArrayList<RunningJob>()
         for (second in 1..(LARGE_AT + WITHIN)) {
@@ -30,20 +30,20 @@
                 val tasks = random.nextInt(10, 60)
                 val seconds = random.nextInt(10, 40)
                 owed -= tasks * seconds
-                val urgency = if (random.nextInt(3) == 0) Urgency.IDLE else Urgency.NORMAL
-                t.job { it.copy(urgency = urgency, tasks = tasks, expectedSeconds = seconds.toDouble()) }
+                val priority = if (random.nextInt(3) == 0) Priority.IDLE else Priority.NORMAL
+                t.job { it.copy(priority = priority, tasks = tasks, expectedSeconds = seconds.toDouble()) }
             }
             if (second == LARGE_AT) {
                 repeat(2) {
                     large +=
                         t.job {
                             it.copy(
-                                urgency = Urgency.IDLE,
+                                priority = Priority.IDLE,
                                 tasks = 6,
                                 cpus = 8.0,
                                 memoryGb = 12.0,
                                 expectedSeconds = 200.0,
-                                dueSeconds = null,
+                                deadlineSeconds = null,
                             )
                         }
                 }
--- a/src/test/kotlin/umberslip/dispatch/TestScheduler.kt
+++ b/src/test/kotlin/umberslip/scheduling/TestScheduler.kt
@@ -1,53 +1,53 @@
-package umberslip.dispatch
+package umberslip.scheduling
 
-import umberslip.agents.Cause
-import umberslip.agents.Mark
-import umberslip.agents.Order
-import umberslip.agents.Report
+import umberslip.agents.ExitCause
+import umberslip.agents.Heartbeat
+import umberslip.agents.HeartbeatVersion
 import umberslip.agents.ReportedTask
 import umberslip.agents.TaskState
-import umberslip.cloud.HostName
+import umberslip.agents.WorkerCommand
+import umberslip.core.JobSpec
+import umberslip.core.MachineName
+import umberslip.core.TaskId
+import umberslip.core.Term
 import umberslip.http.Documents
 import umberslip.records.JobRecord
-import umberslip.records.JobSpec
 import umberslip.records.Keys
 import umberslip.records.LogRecord
-import umberslip.records.Replica
-import umberslip.records.TaskId
-import umberslip.records.Term
+import umberslip.records.RecordReplica
 import umberslip.records.Versioned
 import umberslip.recovery.RecordedWork
 import umberslip.settings.Settings
 import umberslip.settings.Timings
 import umberslip.settings.Tuning
-import umberslip.sim.Samples
-import umberslip.sim.WorldSize
-import umberslip.state.Change
-import umberslip.state.Guard
-import umberslip.state.Version
-import umberslip.state.Write
+import umberslip.sim.ClusterSize
+import umberslip.sim.Fixtures
+import umberslip.store.Change
+import umberslip.store.Precondition
+import umberslip.store.Version
+import umberslip.store.Write
 import java.time.Instant
 import kotlin.random.Random
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** A scheduler with machines that report when told to, and a state service that takes every batch. */
+/** A scheduler with machines that report when told to, and a key-value store that takes every batch. */
 class TestScheduler(
     val term: Term = Term(5),
-    private val replica: Replica = Replica(),
-    private val settingsJson: String = Samples.settingsJson("c-0"),
+    private val replica: RecordReplica = RecordReplica(),
+    private val settingsJson: String = Fixtures.settingsJson("c-0"),
     private val logSlots: Int = 256,
 ) {
     val settings = Settings.parse(settingsJson)
     val timings = Timings(settings.workers, Tuning())
     val scheduler =
         SchedulerState(settings, timings, term, Version(1), { Instant.EPOCH }, logSlots).also {
-            it.setFlavors(WorldSize.SMALL)
+            it.setInstanceTypes(ClusterSize.SMALL)
         }
     private val maintenance = Maintenance(scheduler, settings, timings)
     var now: Duration = 100.seconds
     var version = 100L
-    private val counters = HashMap<HostName, Long>()
+    private val counters = HashMap<MachineName, Long>()
     private var made = 0
     val written = ArrayList<Write>()
 
@@ -55,10 +55,10 @@
         val number = ++made
         val spec =
             change(
-                Samples.unboundJob(Random(1), number).copy(
+                Fixtures.unboundJob(Random(1), number).copy(
                     tasks = 3,
                     expectedSeconds = 10.0,
-                    dueSeconds = 60.0,
+                    deadlineSeconds = 60.0,
                 ),
             )
         val record = Versioned(JobRecord(spec, Instant.EPOCH, false), Version(++version))
@@ -80,53 +80,53 @@
             now,
         )
 
-    fun report(
-        host: String,
+    fun heartbeat(
+        machineName: String,
         vararg tasks: ReportedTask,
-        token: Term = term,
+        fencingToken: Term = term,
         type: String = "small",
         zone: String = "east",
         spot: Boolean = false,
         session: Long = 1,
-        counter: Long? = null,
+        sequenceNumber: Long? = null,
         warning: Double? = null,
-    ): Verdict {
-        val name = HostName(host)
-        val next = counter ?: ((counters[name] ?: 0) + 1)
+    ): HeartbeatDisposition {
+        val name = MachineName(machineName)
+        val next = sequenceNumber ?: ((counters[name] ?: 0) + 1)
         counters[name] = next
         return scheduler
-            .report(Report(name, type, zone, spot, Mark(session, next), token, warning, tasks.toList()), now)
-            .also { if (it == Verdict.ANSWER || it == Verdict.TOKEN_ONLY) scheduler.answered(name, now) }
+            .heartbeat(Heartbeat(name, type, zone, spot, HeartbeatVersion(session, next), fencingToken, warning, tasks.toList()), now)
+            .also { if (it == HeartbeatDisposition.ACCEPTED || it == HeartbeatDisposition.TOKEN_BEHIND) scheduler.answered(name, now) }
     }
 
-    fun deal(host: String) = scheduler.deal(machine(host), now) { false }
+    fun dispatch(machineName: String) = scheduler.dispatch(machine(machineName), now) { false }
 
-    fun machine(host: String) = scheduler.machines.getValue(HostName(host))
+    fun machine(machineName: String) = scheduler.machines.getValue(MachineName(machineName))
 
-    fun orders(
-        host: String,
+    fun commands(
+        machineName: String,
         mayStart: Boolean = true,
-    ): List<Order> = scheduler.orders(machine(host), mayStart)
+    ): List<WorkerCommand> = scheduler.commands(machine(machineName), mayStart)
 
-    fun starts(host: String): List<TaskId> = orders(host).filterIsInstance<Order.Start>().map { it.task }
+    fun starts(machineName: String): List<TaskId> = commands(machineName).filterIsInstance<WorkerCommand.Start>().map { it.task }
 
     fun tick() = maintenance.tick(now)
 
-    fun isUnheard(): Boolean = maintenance.isUnheard(now)
+    fun hasLostWorkers(): Boolean = maintenance.hasLostWorkers(now)
 
-    /** Whatever an owner writes must fail once another owns. */
-    fun batch(): Batch? =
-        scheduler.pendingWrites.nextBatch(settings.stateLimits.txnOps, scheduler.machines.keys, now)?.also { batch ->
-            check(batch.guards.count { it.key == Keys.OWNER && it.version != Version.NONE } == 1) {
-                "a batch without the owner's guard: ${batch.guards}"
+    /** Whatever an leader writes must fail once another leads. */
+    fun batch(): WriteBatch? =
+        scheduler.writeAheadLog.nextBatch(settings.storeLimits.transactionOps, scheduler.machines.keys, now)?.also { batch ->
+            check(batch.preconditions.count { it.key == Keys.LEADER && it.version != Version.NONE } == 1) {
+                "a batch without the owner's guard: ${batch.preconditions}"
             }
-            for (write in batch.writes) checkStartsAreGuarded(write, batch.guards)
+            for (write in batch.writes) checkStartsAreGuarded(write, batch.preconditions)
         }
 
-    /** A start is recorded under the guard of its job's record, whatever it is recorded for. */
+    /** A start is recorded under the precondition of its job's record, whatever it is recorded for. */
     private fun checkStartsAreGuarded(
         write: Write,
-        guards: List<Guard>,
+        preconditions: List<Precondition>,
     ) {
         if (write !is Write.Put || Keys.asLog(write.key) == null) return
         val entry = LogRecord.parse(Documents.readCbor(Documents.writeCbor(write.data)))
@@ -136,11 +136,11 @@
                 row.starts.filter { start ->
                     job.assigned[start.index]?.let { it.attempt == start.attempt && !it.recorded } ?: false
                 }
-            check(unrecorded.isEmpty() || guards.any { it.key == Keys.job(id) }) { "$id: unguarded $unrecorded" }
+            check(unrecorded.isEmpty() || preconditions.any { it.key == Keys.job(id) }) { "$id: unguarded $unrecorded" }
         }
     }
 
-    /** Writes all that is due, as the state service would take it. */
+    /** Writes all that is due, as the key-value store would take it. */
     fun write(): Int {
         var ops = 0
         while (true) {
@@ -182,7 +182,7 @@
         fun ended(
             task: TaskId,
             attempt: Long,
-            cause: Cause,
-        ) = ReportedTask(task, attempt, TaskState.ENDED, cause, false)
+            cause: ExitCause,
+        ) = ReportedTask(task, attempt, TaskState.EXITED, cause, false)
     }
 }
--- a/src/test/kotlin/umberslip/settings/SettingsTest.kt
+++ b/src/test/kotlin/umberslip/settings/SettingsTest.kt
@@ -7,11 +7,11 @@
 import org.junit.jupiter.api.Test
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.CsvSource
-import umberslip.sim.Samples
+import umberslip.sim.Fixtures
 import kotlin.time.Duration.Companion.seconds
 
 class SettingsTest {
-    private val json = Samples.settingsJson("c-0")
+    private val json = Fixtures.settingsJson("c-0")
 
     @Test
     fun `reads the platform's file, ignoring what it does not know`() {
@@ -19,7 +19,7 @@
         assertEquals(listOf("blue", "green"), s.teams.map { it.name })
         assertEquals(24.0, s.teams[0].cpusMax)
         assertNull(s.teams[1].cpusMax, "0 means none")
-        assertEquals(2048, s.stateLimits.valueBytes)
+        assertEquals(2048, s.storeLimits.valueBytes)
         assertEquals(2, s.objectives.size)
     }
 
@@ -40,13 +40,13 @@
         field: String,
     ) {
         assertTrue(from in json)
-        val e = assertThrows(BadSettings::class.java) { Settings.parse(json.replaceFirst(from, to)) }
+        val e = assertThrows(InvalidSettingsException::class.java) { Settings.parse(json.replaceFirst(from, to)) }
         assertTrue(field in e.message.orEmpty(), e.message)
     }
 
     @Test
     fun `operators' settings are checked too`() {
-        assertEquals(3.seconds, Tuning.parse("[ownership]\nhold_s = 3.0").ownerLease)
+        assertEquals(3.seconds, Tuning.parse("[ownership]\nhold_s = 3.0").leaderLeaseDuration)
         for (
         bad in listOf(
             "[ownership]\nholds = 3",
@@ -59,21 +59,21 @@
             "[recovery]\nadopt = true",
         )
         ) {
-            assertThrows(BadSettings::class.java, { Tuning.parse(bad) }, bad)
+            assertThrows(InvalidSettingsException::class.java, { Tuning.parse(bad) }, bad)
         }
     }
 
     @Test
     fun `a hold that leaves no time for a cancellation is refused`() {
         val workers = Settings.parse(json).workers
-        assertEquals(workers.cancel, Timings(workers, Tuning()).run { ownerLease + grace + lease + margin })
-        assertThrows(BadSettings::class.java) { Timings(workers, Tuning(ownerLease = 25.seconds)) }
+        assertEquals(workers.cancel, Timings(workers, Tuning()).run { leaderLeaseDuration + grace + lease + margin })
+        assertThrows(InvalidSettingsException::class.java) { Timings(workers, Tuning(leaderLeaseDuration = 25.seconds)) }
     }
 
     @Test
     fun `aims for starts are read, and aims of unknown kinds are passed over`() {
         val json =
-            Samples.settingsJson("c-0").replace(
+            Fixtures.settingsJson("c-0").replace(
                 """"objectives":[""",
                 """"objectives":[{"kind":"wait","class":"batch","within_s":250.0,"share":0.88},""" +
                     """{"kind":"later","x":1},""",
@@ -81,6 +81,6 @@
         val s = Settings.parse(json)
         assertEquals(Objective.Started("batch", 250.seconds), s.objectives.first())
         assertEquals(3, s.objectives.size)
-        assertThrows(BadSettings::class.java) { Settings.parse(json.replace("250.0", "0.0")) }
+        assertThrows(InvalidSettingsException::class.java) { Settings.parse(json.replace("250.0", "0.0")) }
     }
 }
--- a/src/test/kotlin/umberslip/sim/WorldSize.kt
+++ b/src/test/kotlin/umberslip/sim/ClusterSize.kt
@@ -1,9 +1,9 @@
 package umberslip.sim
 
-import umberslip.cloud.Flavor
+import umberslip.cloud.InstanceType
 import kotlin.time.Duration.Companion.seconds
 
-/** What goes wrong in a world: shares of calls and of reports copied; times of larger troubles come from the seed. */
+/** What goes wrong in a world: shares of calls and of heartbeats copied; times of larger troubles come from the seed. */
 class Mischief(
     val lossy: Double,
     val late: Double,
@@ -14,18 +14,18 @@
  * How large a world is. The small one has short pages and a short memory of changes, so that reading on
  * and reading everything again are exercised too.
  */
-class WorldSize(
+class ClusterSize(
     val machinesPerOffer: Int,
     val members: Int = 3,
     val pageItems: Int = 7,
     val changesKept: Int = 60,
-    val flavors: List<Flavor> = SMALL,
+    val instanceTypes: List<InstanceType> = SMALL,
 ) {
     companion object {
         val SMALL =
             listOf(
-                Flavor("small", 4.0, 0.0, 16.0, 1.0, 0.4, 0.2, 5.seconds, listOf("east", "west")),
-                Flavor("large", 16.0, 0.0, 64.0, 1.0, 1.5, 0.7, 5.seconds, listOf("east", "west")),
+                InstanceType("small", 4.0, 0.0, 16.0, 1.0, 0.4, 0.2, 5.seconds, listOf("east", "west")),
+                InstanceType("large", 16.0, 0.0, 64.0, 1.0, 1.5, 0.7, 5.seconds, listOf("east", "west")),
             )
     }
 }
--- a/src/test/kotlin/umberslip/sim/Samples.kt
+++ b/src/test/kotlin/umberslip/sim/Fixtures.kt
@@ -1,13 +1,13 @@
 package umberslip.sim
 
-import umberslip.records.JobId
-import umberslip.records.JobSpec
-import umberslip.records.Shape
-import umberslip.records.Urgency
+import umberslip.core.JobId
+import umberslip.core.JobSpec
+import umberslip.core.Priority
+import umberslip.core.Shape
 import kotlin.random.Random
 
 /** Settings and jobs as a deployment might have them, made from a seed. */
-object Samples {
+object Fixtures {
     fun settingsJson(member: String): String =
         json(
             member,
@@ -18,7 +18,7 @@
             """"rps":300.0,"write_rps":75.0,"value_kb":2.0,"txn_ops":8""",
         )
 
-    /** As [settingsJson], with a state service that may lower its limits at any time. */
+    /** As [settingsJson], with a key-value store that may lower its limits at any time. */
     fun loweredJson(member: String): String =
         roomyJson(member).replace(
             """"txn_ops":12""",
@@ -32,7 +32,7 @@
             """"value_kb":4.0,"txn_ops":12""",
         )
 
-    /** Few controllers, many teams, frequent reports and a slow state service with small values. */
+    /** Few controllers, many teams, frequent heartbeats and a slow key-value store with small values. */
     fun teamsFleetJson(member: String): String =
         json(
             member,
@@ -57,7 +57,7 @@
         nodes: Int,
         teams: String,
         workers: String,
-        state: String,
+        store: String,
     ): String =
         """{"member":"$member","area":"${area(member)}","bind":"127.0.0.1:8080","peer_listen":"127.0.0.1:8081",
         "known":[${known(member, nodes)}],"endpoints":{
@@ -66,7 +66,7 @@
         "settings":{"nodes":$nodes,"zones":["east","west"],"teams":[$teams],
         "objectives":[{"kind":"finished","class":"batch","within_s":60.0,"share":0.9},
         {"kind":"guarantee","within_s":5.0,"share":0.9}],
-        "workers":{$workers},"state":{$state},"cloud":{"rps":5.0,"list_lag_s":4.0},
+        "workers":{$workers},"state":{$store},"cloud":{"rps":5.0,"list_lag_s":4.0},
         "quota":{"cpu":0.25,"ram_mb":200.0,"sockets":200},"skew_ms":25.0}}"""
 
     private fun area(member: String) = if (member.last().digitToInt() % 2 == 1) "west" else "east"
@@ -92,7 +92,7 @@
             tasks = if (random.nextInt(10) == 0) random.nextInt(200, 600) else random.nextInt(20, 120),
             cpus = listOf(1.0, 2.0)[random.nextInt(2)],
             memoryGb = 1.9,
-            types = null,
+            instanceTypes = null,
             zone = null,
             oneZone = false,
             spread = false,
@@ -109,7 +109,7 @@
             team = "green",
             cpus = 1.0,
             memoryGb = 1.0,
-            types = null,
+            instanceTypes = null,
             zone = null,
             oneZone = false,
             spread = false,
@@ -127,22 +127,22 @@
             jobClass = "batch",
             team = if (random.nextBoolean()) "blue" else "green",
             shape = Shape.ARRAY,
-            urgency = Urgency.entries[random.nextInt(Urgency.entries.size)],
+            priority = Priority.entries[random.nextInt(Priority.entries.size)],
             tasks = tasks,
             cpus = listOf(0.5, 1.0, 2.0, 4.0)[random.nextInt(4)],
             gpus = 0.0,
             memoryGb = listOf(0.5, 2.0, 4.0)[random.nextInt(3)],
             image = "img-${random.nextInt(3)}",
             imageGb = 1.0,
-            types = fits[random.nextInt(fits.size)],
+            instanceTypes = fits[random.nextInt(fits.size)],
             zone = listOf("east", "west", null, null, null)[random.nextInt(5)],
             oneZone = random.nextInt(5) == 0,
             spread = false,
             spot = random.nextInt(3) > 0,
             expectedSeconds = random.nextDouble(1.0, 15.0),
-            checkpointSeconds = 0.0,
-            savingSeconds = 0.0,
-            dueSeconds = if (random.nextBoolean()) random.nextDouble(10.0, 100.0) else null,
+            checkpointIntervalSeconds = 0.0,
+            checkpointSaveSeconds = 0.0,
+            deadlineSeconds = if (random.nextBoolean()) random.nextDouble(10.0, 100.0) else null,
         ).let { if (it.zone == null && !it.oneZone && random.nextInt(5) == 0) it.copy(spread = true) else it }
     }
 }
--- a/src/test/kotlin/umberslip/sim/StoredState.kt
+++ b/src/test/kotlin/umberslip/sim/InMemoryKeyValueStore.kt
@@ -1,21 +1,21 @@
 package umberslip.sim
 
 import umberslip.http.Documents
-import umberslip.state.Change
-import umberslip.state.Changes
-import umberslip.state.Entry
-import umberslip.state.Guard
-import umberslip.state.Lease
-import umberslip.state.Page
-import umberslip.state.TxnResult
-import umberslip.state.Version
-import umberslip.state.Write
+import umberslip.store.Change
+import umberslip.store.Changes
+import umberslip.store.Entry
+import umberslip.store.Page
+import umberslip.store.Precondition
+import umberslip.store.StoreLease
+import umberslip.store.TransactionResult
+import umberslip.store.Version
+import umberslip.store.Write
 import java.util.TreeMap
 import kotlin.time.Duration
 
-/** The state service's contract, in memory, with leases that run out. */
-class StoredState(
-    private val size: WorldSize,
+/** The key-value store's contract, in memory, with leases that run out. */
+class InMemoryKeyValueStore(
+    private val size: ClusterSize,
     private val now: () -> Duration,
 ) {
     private class Row(
@@ -77,14 +77,14 @@
         return Changes(revision, log.takeLastWhile { it.version.value > after }.filter { it.key.startsWith(prefix) })
     }
 
-    fun txn(
-        guards: List<Guard>,
+    fun compareAndSwap(
+        preconditions: List<Precondition>,
         writes: List<Write>,
-    ): TxnResult {
-        val failed = guards.filter { (rows[it.key]?.version ?: 0L) != it.version.value }.map { it.key }
-        if (failed.isNotEmpty()) return TxnResult.Refused(failed)
-        if (writes.any { it is Write.Put && it.lease != null && it.lease.id !in leases }) return TxnResult.NoLease
-        if (writes.isEmpty()) return TxnResult.Applied(Version(revision))
+    ): TransactionResult {
+        val failed = preconditions.filter { (rows[it.key]?.version ?: 0L) != it.version.value }.map { it.key }
+        if (failed.isNotEmpty()) return TransactionResult.PreconditionFailed(failed)
+        if (writes.any { it is Write.Put && it.lease != null && it.lease.id !in leases }) return TransactionResult.LeaseExpired
+        if (writes.isEmpty()) return TransactionResult.Applied(Version(revision))
         revision++
         for (w in writes) {
             when (w) {
@@ -97,15 +97,15 @@
                 }
             }
         }
-        return TxnResult.Applied(Version(revision))
+        return TransactionResult.Applied(Version(revision))
     }
 
-    fun open(ttl: Duration): Lease {
+    fun open(ttl: Duration): StoreLease {
         leases[++nextLease] = LeaseRow(ttl, now() + ttl)
-        return Lease(nextLease)
+        return StoreLease(nextLease)
     }
 
-    fun renew(lease: Lease): Boolean {
+    fun renew(lease: StoreLease): Boolean {
         val row = leases[lease.id] ?: return false
         row.until = now() + row.ttl
         return true
--- a/src/test/kotlin/umberslip/sim/RulesTest.kt
+++ b/src/test/kotlin/umberslip/sim/RulesTest.kt
@@ -28,9 +28,9 @@
     @ValueSource(ints = [201, 202, 203, 204, 205, 206, 207, 208, 209, 210, 211, 212, 213, 214, 215, 216])
     fun `rules hold with deaf machines, late copies, isolated controllers and quick returns`(seed: Int) {
         val troubles = listOf(::deaf, ::isolated, ::quick)
-        val mixed = { world: World, random: Random ->
-            troubles.random(random)(world, random)
-            if (random.nextInt(3) == 0) trouble(world, random)
+        val mixed = { cluster: SimulatedCluster, random: Random ->
+            troubles.random(random)(cluster, random)
+            if (random.nextInt(3) == 0) trouble(cluster, random)
         }
         play(
             seed,
@@ -44,123 +44,123 @@
     private fun play(
         seed: Int,
         length: Double,
-        trouble: (World, Random) -> Unit,
+        trouble: (SimulatedCluster, Random) -> Unit,
         copied: Double = 0.0,
         machines: Int = 3,
     ) {
         val random = Random(seed)
-        val world =
-            World(
+        val cluster =
+            SimulatedCluster(
                 seed,
                 Mischief(lossy = 0.01, late = 0.01, copied = copied),
-                WorldSize(machines),
-                Samples::settingsJson,
+                ClusterSize(machines),
+                Fixtures::settingsJson,
             )
-        for (i in 0..2) world.startController(i)
+        for (i in 0..2) cluster.startController(i)
         var number = 0
         var next = Duration.ZERO
-        while (world.now() < 150.seconds) {
-            if (world.now() >= next) {
-                world.user(
-                    Samples.job(random, number++).let {
+        while (cluster.now() < 150.seconds) {
+            if (cluster.now() >= next) {
+                cluster.user(
+                    Fixtures.job(random, number++).let {
                         it.copy(expectedSeconds = it.expectedSeconds * length, tasks = minOf(it.tasks, 30))
                     },
                     if (random.nextInt(5) == 0) random.nextInt(1, 40).seconds else null,
                 )
-                next = world.now() + random.nextInt(1, 8).seconds * 3 / machines
+                next = cluster.now() + random.nextInt(1, 8).seconds * 3 / machines
             }
-            trouble(world, random)
-            world.run(1.seconds)
+            trouble(cluster, random)
+            cluster.run(1.seconds)
         }
         // Left in peace, everything that was accepted comes to its end.
-        world.state.out = false
-        world.cloudOut = false
-        while (world.finishedJobs + world.cancelledJobs < world.acceptedJobs && world.now() < 3000.seconds) {
-            world.run(20.seconds)
+        cluster.store.out = false
+        cluster.cloudOut = false
+        while (cluster.finishedJobs + cluster.cancelledJobs < cluster.acceptedJobs && cluster.now() < 3000.seconds) {
+            cluster.run(20.seconds)
         }
-        world.end()
-        assertEquals(emptyList<String>(), world.broken.take(5))
-        assertTrue(world.starts > 20, "only ${world.starts} tasks started")
-        assertEquals(world.acceptedJobs, world.finishedJobs + world.cancelledJobs, "jobs that ended; ${world.open()}")
+        cluster.end()
+        assertEquals(emptyList<String>(), cluster.broken.take(5))
+        assertTrue(cluster.starts > 20, "only ${cluster.starts} tasks started")
+        assertEquals(cluster.acceptedJobs, cluster.finishedJobs + cluster.cancelledJobs, "jobs that ended; ${cluster.open()}")
     }
 
     private fun cuts(
-        world: World,
+        cluster: SimulatedCluster,
         random: Random,
     ) {
         when (random.nextInt(40)) {
-            0, 1 -> world.cutZones(random.nextInt(20, 120).seconds)
-            2, 3 -> world.upMachines().randomOrNull(random)?.let { world.hang(it, random.nextInt(5, 40).seconds) }
-            4 -> restart(world, random.nextInt(3), random)
-            5, 6 -> world.cloudOut = true
-            7 -> world.cloudOut = false
+            0, 1 -> cluster.cutZones(random.nextInt(20, 120).seconds)
+            2, 3 -> cluster.upMachines().randomOrNull(random)?.let { cluster.hang(it, random.nextInt(5, 40).seconds) }
+            4 -> restart(cluster, random.nextInt(3), random)
+            5, 6 -> cluster.cloudOut = true
+            7 -> cluster.cloudOut = false
         }
     }
 
     private fun deaf(
-        world: World,
+        cluster: SimulatedCluster,
         random: Random,
     ) {
         if (random.nextInt(12) == 0) {
-            world.upMachines().randomOrNull(random)?.let { world.deafen(it, random.nextInt(5, 90).seconds) }
+            cluster.upMachines().randomOrNull(random)?.let { cluster.deafen(it, random.nextInt(5, 90).seconds) }
         }
     }
 
     private fun isolated(
-        world: World,
+        cluster: SimulatedCluster,
         random: Random,
     ) {
         val controller = random.nextInt(3)
         val time = random.nextInt(5, 90).seconds
         when (random.nextInt(50)) {
-            0, 1 -> world.isolate(controller, time)
+            0, 1 -> cluster.isolate(controller, time)
             // It loses its workers only.
-            2 -> listOf("east", "west").forEach { world.cut(controller, it, time) }
+            2 -> listOf("east", "west").forEach { cluster.cut(controller, it, time) }
         }
     }
 
     private fun quick(
-        world: World,
+        cluster: SimulatedCluster,
         random: Random,
     ) {
         val controller = random.nextInt(3)
         when (random.nextInt(20)) {
             0 -> {
-                world.stopController(controller)
-                world.run(random.nextInt(20, 900).milliseconds)
-                world.startController(controller)
+                cluster.stopController(controller)
+                cluster.run(random.nextInt(20, 900).milliseconds)
+                cluster.startController(controller)
             }
-            1 -> world.upMachines().randomOrNull(random)?.let { world.reboot(it, random.nextBoolean()) }
+            1 -> cluster.upMachines().randomOrNull(random)?.let { cluster.reboot(it, random.nextBoolean()) }
         }
     }
 
     private fun trouble(
-        world: World,
+        cluster: SimulatedCluster,
         random: Random,
     ) {
         val zone = if (random.nextBoolean()) "east" else "west"
         val controller = random.nextInt(3)
         val time = random.nextInt(1, 40).seconds
         when (random.nextInt(60)) {
-            0, 1 -> restart(world, controller, random)
-            2 -> (0..2).forEach { restart(world, it, random) }
-            3, 4 -> world.upMachines().randomOrNull(random)?.let(world::kill)
-            5, 6 -> world.upMachines().randomOrNull(random)?.let { world.hang(it, time) }
-            7, 8, 9 -> world.cut(controller, zone, time)
-            10, 11 -> world.cutState(controller, time)
-            12 -> world.state.out = true
-            17, 18 -> world.cutZones(random.nextInt(5, 60).seconds)
-            13, 14, 15, 16 -> world.state.out = false
+            0, 1 -> restart(cluster, controller, random)
+            2 -> (0..2).forEach { restart(cluster, it, random) }
+            3, 4 -> cluster.upMachines().randomOrNull(random)?.let(cluster::kill)
+            5, 6 -> cluster.upMachines().randomOrNull(random)?.let { cluster.hang(it, time) }
+            7, 8, 9 -> cluster.cut(controller, zone, time)
+            10, 11 -> cluster.cutState(controller, time)
+            12 -> cluster.store.out = true
+            17, 18 -> cluster.cutZones(random.nextInt(5, 60).seconds)
+            13, 14, 15, 16 -> cluster.store.out = false
         }
     }
 
     private fun restart(
-        world: World,
+        cluster: SimulatedCluster,
         controller: Int,
         random: Random,
     ) {
-        world.stopController(controller)
-        world.run(random.nextInt(100, 6000).milliseconds)
-        world.startController(controller)
+        cluster.stopController(controller)
+        cluster.run(random.nextInt(100, 6000).milliseconds)
+        cluster.startController(controller)
     }
 }
--- a/src/test/kotlin/umberslip/sim/World.kt
+++ b/src/test/kotlin/umberslip/sim/SimulatedCluster.kt
@@ -13,33 +13,34 @@
 import kotlinx.coroutines.test.StandardTestDispatcher
 import kotlinx.coroutines.test.TestCoroutineScheduler
 import kotlinx.coroutines.withTimeoutOrNull
-import umberslip.actor.Clock
 import umberslip.cloud.Cloud
-import umberslip.cloud.Flavor
-import umberslip.cloud.HostName
-import umberslip.cloud.HostStatus
-import umberslip.cloud.ListedHost
+import umberslip.cloud.InstanceType
+import umberslip.cloud.ListedMachine
+import umberslip.cloud.MachineStatus
 import umberslip.cloud.Offer
+import umberslip.core.Clock
+import umberslip.core.JobSpec
+import umberslip.core.MachineName
+import umberslip.core.TaskId
 import umberslip.daemon.Controller
 import umberslip.http.Documents
 import umberslip.http.Fields
-import umberslip.http.Malformed
-import umberslip.http.NoAnswer
+import umberslip.http.MalformedMessageException
+import umberslip.http.NoResponseException
+import umberslip.http.RateLimitedException
 import umberslip.http.Request
 import umberslip.http.Response
-import umberslip.http.Throttled
-import umberslip.http.Unavailable
+import umberslip.http.ServiceUnavailableException
 import umberslip.peers.PeerHealth
-import umberslip.records.JobSpec
-import umberslip.records.TaskId
+import umberslip.records.toMap
 import umberslip.settings.Settings
 import umberslip.settings.Tuning
-import umberslip.state.Guard
-import umberslip.state.Lease
-import umberslip.state.StateService
-import umberslip.state.TxnResult
-import umberslip.state.Version
-import umberslip.state.Write
+import umberslip.store.KeyValueStore
+import umberslip.store.Precondition
+import umberslip.store.StoreLease
+import umberslip.store.TransactionResult
+import umberslip.store.Version
+import umberslip.store.Write
 import java.time.Instant
 import kotlin.random.Random
 import kotlin.time.Duration
@@ -47,14 +48,14 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Several controllers, a state service, a cloud, workers and users in virtual time. After every
+ * Several controllers, a key-value store, a cloud, workers and users in virtual time. After every
  * event the protocol's rules are checked against what really is on the machines.
  */
 @OptIn(ExperimentalCoroutinesApi::class)
-class World(
+class SimulatedCluster(
     seed: Int,
     private val mischief: Mischief,
-    private val size: WorldSize,
+    private val size: ClusterSize,
     settingsJson: (String) -> String,
     /** The operators' settings of each controller. */
     private val tuning: (Int) -> Tuning = { Tuning() },
@@ -68,33 +69,33 @@
     private val settings = members.mapTo(ArrayList()) { Settings.parse(settingsJson(it)) }
     private val lease = settings[0].workers.lease
     private val cancelWithin = settings[0].workers.cancel
-    private val reportMillis = settings[0].workers.report.inWholeMilliseconds
+    private val heartbeatMillis = settings[0].workers.heartbeatInterval.inWholeMilliseconds
     private val controllers = arrayOfNulls<Controller>(members.size)
     private val registries = arrayOfNulls<MeterRegistry>(members.size)
     private val jobsOfControllers = arrayOfNulls<Job>(members.size)
     private val dispatchers = arrayOfNulls<FreezableDispatcher>(members.size)
     private val frozenSince = arrayOfNulls<Duration>(members.size)
     private val frozenUntil = Array(members.size) { Duration.ZERO }
-    val state = StoredState(size, ::now)
+    val store = InMemoryKeyValueStore(size, ::now)
 
-    /** From which time on a controller gets through to the state service or to machines again. */
+    /** From which time on a controller gets through to the key-value store or to machines again. */
     private val cutFromState = Array(members.size) { Duration.ZERO }
     private val cutFromReads = Array(members.size) { Duration.ZERO }
 
-    /** How many writes each controller has had answered as the owner. */
-    private val ownWrites = IntArray(members.size)
+    /** How many writes each controller has had answered as the leader. */
+    private val leaderWrites = IntArray(members.size)
     private val cutFromPeers = Array(members.size) { Duration.ZERO }
 
-    /** Since when some controller has been up and served by the state service all the time. */
+    /** Since when some controller has been up and served by the key-value store all the time. */
     private var servedSince = Duration.ZERO
-    private val machines = LinkedHashMap<String, SimMachine>()
+    private val machines = LinkedHashMap<String, SimulatedMachine>()
     private val cutUntil = HashMap<Pair<Int, String>, Duration>()
     var cloudOut = false
 
     /** That share of transactions gets no answer and is carried out 2 to 12 s later, after newer ones. */
     var lateWrites = 0.0
 
-    /** From then on the state service keeps to its lower limits, without notice. */
+    /** From then on the key-value store keeps to its lower limits, without notice. */
     var lowered = false
     private var writesLeft = 0.0
     private var writesAt = Duration.ZERO
@@ -107,10 +108,10 @@
     private val idleSince = HashMap<String, Duration>()
     private val lastBegun = HashMap<String, Duration>()
     private var zonesCutUntil = Duration.ZERO
-    private val hires = HashMap<String, List<HostName>>()
+    private val hires = HashMap<String, List<MachineName>>()
 
     /** Where each task of a job runs now, and what a team's running tasks take. */
-    private val running = HashMap<String, HashMap<TaskId, HashSet<SimMachine>>>()
+    private val running = HashMap<String, HashMap<TaskId, HashSet<SimulatedMachine>>>()
     private val used = HashMap<String, Double>()
     private val limits = settings[0].teams.associate { it.name to it.cpusMax }
     private val specs = HashMap<String, JobSpec>()
@@ -123,8 +124,8 @@
     var starts = 0
         private set
 
-    /** Reports that were refused since a controller had too many at once. */
-    var reportsDropped = 0
+    /** Heartbeats that were refused since a controller had too many at once. */
+    var heartbeatsDropped = 0
         private set
     val finishedJobs: Int get() = toldDone.size
     val acceptedJobs: Int get() = accepted.size
@@ -132,8 +133,8 @@
 
     fun now(): Duration = scheduler.currentTime.milliseconds
 
-    /** What the owner's metrics say. */
-    fun ownersMetrics(): MeterRegistry? = owner()?.takeIf { controllers[it] != null }?.let { registries[it] }
+    /** What the leader's metrics say. */
+    fun leaderMetrics(): MeterRegistry? = leader()?.takeIf { controllers[it] != null }?.let { registries[it] }
 
     private fun broke(what: String) {
         broken += "${now()}: $what"
@@ -227,67 +228,67 @@
         zonesCutUntil = now() + time
     }
 
-    /** A controller's way to the state service, with losses, and with requests that are carried out late. */
+    /** A controller's way to the key-value store, with losses, and with requests that are carried out late. */
     private inner class Link(
         private val i: Int,
-    ) : StateService {
+    ) : KeyValueStore {
         private suspend fun <T> call(
             lateToo: Boolean,
             what: () -> T,
         ): T {
             delay(random.nextLong(1, 12))
-            if (state.out || cutFromState[i] > now()) throw Unavailable("out")
+            if (store.out || cutFromState[i] > now()) throw ServiceUnavailableException("out")
             val luck = random.nextDouble()
             if (luck < mischief.lossy) {
                 delay(1000)
-                throw NoAnswer("lost")
+                throw NoResponseException("lost")
             }
             if (lateToo && luck < mischief.lossy + mischief.late) {
                 scope.launch {
                     delay(random.nextLong(500, 40_000))
-                    state.expire()
-                    if (!state.out) what()
+                    store.expire()
+                    if (!store.out) what()
                 }
                 delay(1000)
-                throw NoAnswer("late")
+                throw NoResponseException("late")
             }
-            state.expire()
+            store.expire()
             val answer = what()
             if (luck > 1 - mischief.lossy) {
                 delay(1000)
-                throw NoAnswer("answer lost")
+                throw NoResponseException("answer lost")
             }
             delay(random.nextLong(1, 6))
             return answer
         }
 
         private suspend fun <T> read(what: () -> T): T {
-            if (cutFromReads[i] > now()) throw Unavailable("reads are refused")
+            if (cutFromReads[i] > now()) throw ServiceUnavailableException("reads are refused")
             return call(false, what)
         }
 
-        override suspend fun get(key: String) = read { state.get(key) }
+        override suspend fun get(key: String) = read { store.get(key) }
 
         override suspend fun lookUp(key: String) = get(key)
 
         override suspend fun list(
             prefix: String,
             after: String?,
-        ) = read { state.list(prefix, after) }
+        ) = read { store.list(prefix, after) }
 
         override suspend fun changes(
             prefix: String,
             after: Long,
-        ) = read { state.changes(prefix, after) }
+        ) = read { store.changes(prefix, after) }
 
-        override suspend fun txn(
-            guards: List<Guard>,
+        override suspend fun compareAndSwap(
+            preconditions: List<Precondition>,
             writes: List<Write>,
-        ): TxnResult {
+        ): TransactionResult {
             // Within the smaller of the limits now and later from the start.
-            val limits = settings[i].stateLimits
-            if (writes.size > limits.txnOps) broke("a transaction of ${writes.size} writes")
-            if (guards.size > limits.txnOps * 4) broke("a transaction of ${guards.size} guards")
+            val limits = settings[i].storeLimits
+            if (writes.size > limits.transactionOps) broke("a transaction of ${writes.size} writes")
+            if (preconditions.size > limits.transactionOps * 4) broke("a transaction of ${preconditions.size} guards")
             for (w in writes) {
                 if (w is Write.Put && Documents.jsonSize(w.data) > limits.valueBytes) {
                     broke("${w.key} takes ${Documents.jsonSize(w.data)} bytes")
@@ -300,54 +301,54 @@
                         writesLeft + (now() - writesAt).inWholeMilliseconds / 1000.0 * limits.nextWriteRps,
                     )
                 writesAt = now()
-                if (writes.size > writesLeft) throw Throttled("429")
+                if (writes.size > writesLeft) throw RateLimitedException("429")
                 writesLeft -= writes.size
             }
-            if (lateWrites > 0 && !state.out && cutFromState[i] <= now() && random.nextDouble() < lateWrites) {
-                val before = ownWrites[i]
+            if (lateWrites > 0 && !store.out && cutFromState[i] <= now() && random.nextDouble() < lateWrites) {
+                val before = leaderWrites[i]
                 scope.launch {
                     delay(random.nextLong(2000, 12_000))
-                    state.expire()
-                    if (state.out) return@launch
-                    val result = apply(guards, writes)
+                    store.expire()
+                    if (store.out) return@launch
+                    val result = apply(preconditions, writes)
                     // Whatever was decided since then did not know of it. A note on booting machines is a hint.
-                    if (result is TxnResult.Applied && isOwners(guards, writes) && ownWrites[i] > before) {
+                    if (result is TransactionResult.Applied && isLeaderWrite(preconditions, writes) && leaderWrites[i] > before) {
                         broke("a late write of c-$i came through after newer ones: ${writes.map { it.key }}")
                     }
                 }
                 delay(1000)
-                throw NoAnswer("late")
+                throw NoResponseException("late")
             }
-            return call(true) { apply(guards, writes) }.also {
-                if (it is TxnResult.Applied && isOwners(guards, writes)) ownWrites[i]++
+            return call(true) { apply(preconditions, writes) }.also {
+                if (it is TransactionResult.Applied && isLeaderWrite(preconditions, writes)) leaderWrites[i]++
             }
         }
 
-        /** What only an owner writes comes through only while the record names it. */
+        /** What only an leader writes comes through only while the record names it. */
         private fun apply(
-            guards: List<Guard>,
+            preconditions: List<Precondition>,
             writes: List<Write>,
-        ): TxnResult {
-            val owner = owner()
-            val result = state.txn(guards, writes)
+        ): TransactionResult {
+            val leader = leader()
+            val result = store.compareAndSwap(preconditions, writes)
             val owned =
                 writes.filter { w -> listOf("u/log/", "u/run/", "u/condemned", "u/fleet").any { w.key.startsWith(it) } }
-            if (result is TxnResult.Applied && owned.isNotEmpty() && owner != i) {
-                broke("c-$i writes ${owned.map { it.key }} while ${owner?.let { "c-$it" } ?: "nobody"} owns")
+            if (result is TransactionResult.Applied && owned.isNotEmpty() && leader != i) {
+                broke("c-$i writes ${owned.map { it.key }} while ${leader?.let { "c-$it" } ?: "nobody"} owns")
             }
             return result
         }
 
-        private fun isOwners(
-            guards: List<Guard>,
+        private fun isLeaderWrite(
+            preconditions: List<Precondition>,
             writes: List<Write>,
-        ) = guards.any { it.key == "u/owner" && it.version != Version.NONE } && writes.none { it.key == "u/fleet" }
+        ) = preconditions.any { it.key == "u/owner" && it.version != Version.NONE } && writes.none { it.key == "u/fleet" }
 
-        override suspend fun openLease(ttl: Duration) = call(false) { state.open(ttl) }
+        override suspend fun openLease(ttl: Duration) = call(false) { store.open(ttl) }
 
-        override suspend fun renew(lease: Lease) = call(true) { state.renew(lease) }
+        override suspend fun renew(lease: StoreLease) = call(true) { store.renew(lease) }
 
-        override suspend fun endLease(lease: Lease) = call(true) { state.end(lease.id) }
+        override suspend fun endLease(lease: StoreLease) = call(true) { store.end(lease.id) }
     }
 
     private inner class CloudLink(
@@ -356,56 +357,56 @@
         private suspend fun <T> call(what: () -> T): T {
             delay(random.nextLong(50, 300))
             val luck = random.nextDouble()
-            if (luck < mischief.lossy || cloudOut) throw Unavailable("trouble")
+            if (luck < mischief.lossy || cloudOut) throw ServiceUnavailableException("trouble")
             if (luck < mischief.lossy + mischief.late) {
                 scope.launch {
                     delay(random.nextLong(500, 40_000))
                     what()
                 }
                 delay(5000)
-                throw NoAnswer("late")
+                throw NoResponseException("late")
             }
             return what()
         }
 
-        override suspend fun flavors(): List<Flavor> = call { size.flavors }
+        override suspend fun instanceTypes(): List<InstanceType> = call { size.instanceTypes }
 
-        override suspend fun rent(
+        override suspend fun provision(
             name: String,
             offer: Offer,
             number: Int,
-        ): List<HostName>? =
+        ): List<MachineName>? =
             call {
                 hires[name] ?: run {
-                    val room = size.machinesPerOffer - machines.values.count { !it.gone && it.offer == offer }
+                    val resources = size.machinesPerOffer - machines.values.count { !it.gone && it.offer == offer }
                     val made =
-                        List(minOf(number, room).coerceAtLeast(0)) {
-                            val host = "h-%05d".format(machines.size)
-                            SimMachine(host, offer, now(), now() + random.nextLong(1000, 9000).milliseconds)
+                        List(minOf(number, resources).coerceAtLeast(0)) {
+                            val machineName = "h-%05d".format(machines.size)
+                            SimulatedMachine(machineName, offer, now(), now() + random.nextLong(1000, 9000).milliseconds)
                                 .also {
-                                    machines[host] = it
+                                    machines[machineName] = it
                                     it.sick = random.nextInt(12) == 0
                                     it.lastAnswered = it.upAt
                                     scope.launch { live(it) }
-                                }.let { HostName(host) }
+                                }.let { MachineName(machineName) }
                         }
                     if (made.isEmpty()) null else made.also { hires[name] = it }
                 }
             }
 
-        override suspend fun release(hosts: List<HostName>) = call { hosts.forEach { machines[it.value]?.let(::kill) } }
+        override suspend fun terminate(machineNames: List<MachineName>) = call { machineNames.forEach { machines[it.value]?.let(::kill) } }
 
-        override suspend fun hosts(): List<ListedHost> =
+        override suspend fun listMachines(): List<ListedMachine> =
             call {
                 // The list is up to twice the lag old, so it may be older than the one before.
                 val asOf = now() - settings[i].listLag * listRandom.nextDouble(0.0, 2.0)
                 machines.values.filter { it.bornAt <= asOf && asOf < it.goneAt }.map {
-                    ListedHost(
-                        HostName(it.name),
+                    ListedMachine(
+                        MachineName(it.name),
                         it.offer.type,
                         it.offer.zone,
                         it.offer.spot,
-                        HostStatus.RUNNING,
+                        MachineStatus.RUNNING,
                         asOf - it.bornAt,
                     )
                 }
@@ -414,19 +415,19 @@
 
     // ---- machines ----
 
-    fun kill(machine: SimMachine) {
+    fun kill(machine: SimulatedMachine) {
         if (!machine.gone) machine.goneAt = now()
         machine.gone = true
         empty(machine)
     }
 
-    /** The controller that the owner's record names. */
-    fun owner(): Int? = state.get("u/owner")?.let { members.indexOf(Fields.of(it.data).text("member")) }
+    /** The controller that the leader's record names. */
+    fun leader(): Int? = store.get("u/owner")?.let { members.indexOf(Fields.of(it.data).text("member")) }
 
-    fun upMachines(): List<SimMachine> = machines.values.filter { !it.gone && it.upAt <= now() }
+    fun upMachines(): List<SimulatedMachine> = machines.values.filter { !it.gone && it.upAt <= now() }
 
     fun hang(
-        machine: SimMachine,
+        machine: SimulatedMachine,
         time: Duration,
     ) {
         machine.hungUntil = now() + time
@@ -465,14 +466,14 @@
     }
 
     fun deafen(
-        machine: SimMachine,
+        machine: SimulatedMachine,
         time: Duration,
     ) {
         machine.deafUntil = now() + time
     }
 
     fun mute(
-        machine: SimMachine,
+        machine: SimulatedMachine,
         time: Duration,
     ) {
         machine.muteUntil = now() + time
@@ -480,17 +481,17 @@
 
     /** Ends and comes back at once, with nothing on it, and perhaps with no memory of its sessions. */
     fun reboot(
-        machine: SimMachine,
+        machine: SimulatedMachine,
         blank: Boolean,
     ) {
         empty(machine)
         machine.session = if (blank) 1 else machine.session + 1
-        if (blank) machine.counter = 0
-        if (blank) machine.token = 0
+        if (blank) machine.sequenceNumber = 0
+        if (blank) machine.fencingToken = 0
         machine.lastAnswered = now()
     }
 
-    private suspend fun live(m: SimMachine) {
+    private suspend fun live(m: SimulatedMachine) {
         delay((m.upAt - now()).inWholeMilliseconds)
         scope.launch {
             while (!m.gone) {
@@ -500,23 +501,23 @@
                 check(m)
             }
         }
-        var wait = reportInterval()
+        var wait = heartbeatInterval()
         while (!m.gone) {
             delay(wait)
-            wait = if (m.hungUntil <= now()) report(m) else reportInterval()
+            wait = if (m.hungUntil <= now()) heartbeat(m) else heartbeatInterval()
         }
     }
 
-    private fun reportInterval(): Long = random.nextLong(reportMillis * 3 / 4, reportMillis * 5 / 4)
+    private fun heartbeatInterval(): Long = random.nextLong(heartbeatMillis * 3 / 4, heartbeatMillis * 5 / 4)
 
-    private fun lease(m: SimMachine) {
+    private fun lease(m: SimulatedMachine) {
         if (now() - m.lastAnswered <= lease) return
         empty(m)
         m.session++
         m.lastAnswered = now()
     }
 
-    private fun work(m: SimMachine) {
+    private fun work(m: SimulatedMachine) {
         for (p in m.tasks.values) {
             if (p.status == "fetching" && p.ready <= now()) {
                 p.status = "running"
@@ -533,11 +534,11 @@
         }
     }
 
-    /** Answered with the time until the next report: soon if sent on to a named controller, else to the next one. */
-    private suspend fun report(m: SimMachine): Long {
+    /** Answered with the time until the next heartbeat: soon if sent on to a named controller, else to the next one. */
+    private suspend fun heartbeat(m: SimulatedMachine): Long {
         val sent = now()
         val session = m.session
-        m.counter++
+        m.sequenceNumber++
         val body =
             mapOf(
                 "host" to m.name,
@@ -546,8 +547,8 @@
                 "hall" to m.offer.zone,
                 "reclaimable" to m.offer.spot,
                 "shift" to m.session,
-                "counter" to m.counter,
-                "warrant" to m.token,
+                "counter" to m.sequenceNumber,
+                "warrant" to m.fencingToken,
                 "warning_s" to null,
                 "pieces" to
                     m.tasks.values.map {
@@ -561,7 +562,7 @@
             )
         val to = m.target
         val answer = withTimeoutOrNull(4000) { deliver(to, m, body) }
-        if ((answer?.body as? Map<*, *>)?.get("error") == Controller.TOO_BUSY) reportsDropped++
+        if ((answer?.body as? Map<*, *>)?.get("error") == Controller.TOO_BUSY) heartbeatsDropped++
         if (m.gone) return 0
         if (answer == null || answer.status != 200) {
             val named = (answer?.body as? Map<*, *>)?.get("dispatcher") as? String
@@ -569,19 +570,19 @@
             m.target = if (next >= 0 && next != to) next else (to + 1) % members.size
             return if (next >= 0 && next != to) random.nextLong(0, 500) else 1000
         }
-        if (m.hungUntil > now() || m.session != session) return reportInterval()
+        if (m.hungUntil > now() || m.session != session) return heartbeatInterval()
         val f = Fields.of(Documents.readCbor(Documents.writeCbor(answer.body)))
-        if (f.long("warrant") < m.token) return reportInterval()
-        m.token = f.long("warrant")
+        if (f.long("warrant") < m.fencingToken) return heartbeatInterval()
+        m.fencingToken = f.long("warrant")
         m.lastAnswered = sent
-        f.maps("orders").forEach { order(m, it) }
-        return reportInterval()
+        f.maps("orders").forEach { command(m, it) }
+        return heartbeatInterval()
     }
 
-    /** A report on its way: it may be lost, held back for long, or its answer lost. */
+    /** A heartbeat on its way: it may be lost, held back for long, or its answer lost. */
     private suspend fun deliver(
         to: Int,
-        m: SimMachine,
+        m: SimulatedMachine,
         body: Map<String, Any?>,
     ): Response? {
         val zone = m.offer.zone
@@ -645,7 +646,7 @@
             controller.handle(
                 Request(method, path, if (body == null) ByteArray(0) else Documents.writeCbor(body)),
             ) { answer.complete(it) }
-        } catch (e: Malformed) {
+        } catch (e: MalformedMessageException) {
             // As the HTTP server does.
             answer.complete(Response.error(400, e.message ?: "malformed"))
         }
@@ -675,8 +676,8 @@
         return answer.getCompleted()
     }
 
-    private fun order(
-        m: SimMachine,
+    private fun command(
+        m: SimulatedMachine,
         f: Fields,
     ) {
         val task = TaskId.parse(f.text("piece")) ?: return broke("an order for ${f.text("piece")}")
@@ -714,7 +715,7 @@
     private fun isOn(p: OnMachine) = p.status == "running"
 
     private fun exit(
-        m: SimMachine,
+        m: SimulatedMachine,
         p: OnMachine,
         cause: String,
     ) {
@@ -723,13 +724,13 @@
         p.cause = cause
     }
 
-    private fun empty(m: SimMachine) {
+    private fun empty(m: SimulatedMachine) {
         m.tasks.values.forEach { leave(m, it) }
         m.tasks.clear()
     }
 
     private fun leave(
-        m: SimMachine,
+        m: SimulatedMachine,
         p: OnMachine,
     ) {
         if (!isOn(p)) return
@@ -738,7 +739,7 @@
     }
 
     private fun begins(
-        m: SimMachine,
+        m: SimulatedMachine,
         p: OnMachine,
     ) {
         starts++
@@ -752,7 +753,7 @@
         ofJob.getOrPut(p.task) { HashSet() } += m
         val uses = used.merge(p.spec.team, p.spec.cpus, Double::plus) ?: 0.0
         limits[p.spec.team]?.let { if (uses > it + 1e-6) broke("quota: ${p.spec.team} uses $uses") }
-        if (p.spec.types != null && m.offer.type !in p.spec.types.orEmpty()) {
+        if (p.spec.instanceTypes != null && m.offer.type !in p.spec.instanceTypes.orEmpty()) {
             broke("wrong_place: ${p.task} on ${m.offer}")
         }
         if (p.spec.zone != null && p.spec.zone != m.offer.zone) broke("wrong_place: ${p.task} on ${m.offer}")
@@ -766,8 +767,8 @@
         }
         toldCancelled[id]?.let { if (now() - it > cancelWithin) broke("ran_cancelled: ${p.task} starts") }
         // By the record, not by what is on the machines: a done that is about to be written does not count.
-        for (needed in p.spec.awaits) {
-            val end = state.get("end/${needed.value}")?.let { Fields.of(it.data).text("status") }
+        for (needed in p.spec.dependencies) {
+            val end = store.get("end/${needed.value}")?.let { Fields.of(it.data).text("status") }
             if (end != "done" || (done[needed.value]?.size ?: 0) < specs.getValue(needed.value).tasks) {
                 broke("too_early: ${p.task} while ${needed.value} is ${end ?: "not over"}")
             }
@@ -780,12 +781,12 @@
         val open = ArrayDeque(listOf(id))
         while (open.isNotEmpty()) {
             val next = open.removeLast()
-            if (all.add(next)) specs.getValue(next).awaits.forEach { open += it.value }
+            if (all.add(next)) specs.getValue(next).dependencies.forEach { open += it.value }
         }
         return all
     }
 
-    private fun check(m: SimMachine) {
+    private fun check(m: SimulatedMachine) {
         for (p in m.tasks.values) {
             if (!isOn(p)) continue
             toldCancelled[p.spec.id.value]?.let {
@@ -806,7 +807,7 @@
         specs[id] = spec
         scope.launch {
             val line = Line()
-            while (spec.awaits.any { it.value !in accepted }) delay(200)
+            while (spec.dependencies.any { it.value !in accepted }) delay(200)
             while (true) {
                 val answer = line.ask("POST", "/api/jobs", spec.toMap())
                 if (answer != null && (answer.status == 200 || answer.status == 201)) break
@@ -883,7 +884,7 @@
 
     /** All troubles are over. */
     fun calm() {
-        state.out = false
+        store.out = false
         cloudOut = false
         lateWrites = 0.0
         calmSince = now()
@@ -900,34 +901,34 @@
             val waits =
                 id !in toldDone &&
                     id !in askedToCancel &&
-                    spec.awaits.all { it.value in toldDone } &&
+                    spec.dependencies.all { it.value in toldDone } &&
                     on + (done[id]?.size ?: 0) < spec.tasks
-            val room = if (waits) room(spec) else null
-            if (room == null) {
+            val resources = if (waits) resources(spec) else null
+            if (resources == null) {
                 idleSince.remove(id)
             } else {
                 val from = maxOf(idleSince.getOrPut(id) { now() }, lastBegun[id] ?: Duration.ZERO)
                 if (now() - from > 90.seconds) {
-                    broke("left waiting: $id since $from, and ${room.name} (${room.offer}) has room; $spec")
+                    broke("left waiting: $id since $from, and ${resources.name} (${resources.offer}) has room; $spec")
                 }
             }
         }
     }
 
-    private fun room(spec: JobSpec): SimMachine? {
+    private fun resources(spec: JobSpec): SimulatedMachine? {
         if (limits[spec.team]?.let { (used[spec.team] ?: 0.0) + spec.cpus > it + 1e-6 } == true) return null
         val zones = running[spec.id.value].orEmpty().values.flatMap { on -> on.map { it.offer.zone } }
         return machines.values.firstOrNull { m ->
             if (m.gone || m.sick || m.upAt > now()) return@firstOrNull false
-            val flavor = size.flavors.first { it.label == m.offer.type }
+            val instanceType = size.instanceTypes.first { it.label == m.offer.type }
             val open = m.tasks.values.filter { it.status != "ended" }
-            (spec.types == null || m.offer.type in spec.types.orEmpty()) &&
+            (spec.instanceTypes == null || m.offer.type in spec.instanceTypes.orEmpty()) &&
                 (spec.zone == null || spec.zone == m.offer.zone) &&
                 (spec.spot || !m.offer.spot) &&
                 (!spec.oneZone || zones.all { it == m.offer.zone }) &&
                 zones.count { it == m.offer.zone } < spec.maxPerZone &&
-                flavor.cpus - open.sumOf { it.spec.cpus } >= spec.cpus &&
-                flavor.memoryGb - open.sumOf { it.spec.memoryGb } >= spec.memoryGb
+                instanceType.cpus - open.sumOf { it.spec.cpus } >= spec.cpus &&
+                instanceType.memoryGb - open.sumOf { it.spec.memoryGb } >= spec.memoryGb
         }
     }
 
@@ -1002,7 +1003,7 @@
         scheduler.advanceTimeBy(time)
         checkWaiting()
         val serving = members.indices.count { controllers[it] != null && !isFrozen(it) && cutFromState[it] <= now() }
-        if (state.out || serving == 0) servedSince = now()
+        if (store.out || serving == 0) servedSince = now()
     }
 
     fun end() {
--- a/src/test/kotlin/umberslip/sim/SimMachine.kt
+++ b/src/test/kotlin/umberslip/sim/SimulatedMachine.kt
@@ -1,8 +1,8 @@
 package umberslip.sim
 
 import umberslip.cloud.Offer
-import umberslip.records.JobSpec
-import umberslip.records.TaskId
+import umberslip.core.JobSpec
+import umberslip.core.TaskId
 import kotlin.time.Duration
 
 /** A task on a machine, as the machine sees it. */
@@ -17,15 +17,15 @@
     var ends = Duration.INFINITE
 }
 
-class SimMachine(
+class SimulatedMachine(
     val name: String,
     val offer: Offer,
     val bornAt: Duration,
     val upAt: Duration,
 ) {
     var session = 1L
-    var counter = 0L
-    var token = 0L
+    var sequenceNumber = 0L
+    var fencingToken = 0L
     var lastAnswered = Duration.ZERO
     var target = 0
     var gone = false
@@ -34,7 +34,7 @@
     var goneAt = Duration.INFINITE
     var hungUntil = Duration.ZERO
 
-    /** Its reports arrive until then, but nothing reaches it. */
+    /** Its heartbeats arrive until then, but nothing reaches it. */
     var deafUntil = Duration.ZERO
 
     /** It reaches no controller until then. */
--- a/src/test/kotlin/umberslip/state/PacerTest.kt
+++ b/src/test/kotlin/umberslip/store/RateLimiterTest.kt
@@ -1,4 +1,4 @@
-package umberslip.state
+package umberslip.store
 
 import kotlinx.coroutines.ExperimentalCoroutinesApi
 import kotlinx.coroutines.async
@@ -11,22 +11,22 @@
 import org.junit.jupiter.api.Assertions.assertEquals
 import org.junit.jupiter.api.Assertions.assertTrue
 import org.junit.jupiter.api.Test
-import umberslip.actor.Clock
+import umberslip.core.Clock
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** Requests to the state service keep to its rate, and questions never delay what matters more. */
+/** Requests to the key-value store keep to its rate, and questions never delay what matters more. */
 @OptIn(ExperimentalCoroutinesApi::class)
-class PacerTest {
-    private fun TestScope.pacer(rate: Double) = Pacer(rate, Clock { currentTime.milliseconds })
+class RateLimiterTest {
+    private fun TestScope.rateLimiter(rate: Double) = RateLimiter(rate, Clock { currentTime.milliseconds })
 
     @Test
     fun `a flood of questions delays no other request`() =
         runTest {
-            val pacer = pacer(40.0)
-            val questions = List(400) { async { pacer.takeSpare(1, 500.milliseconds) } }
+            val rateLimiter = rateLimiter(40.0)
+            val questions = List(400) { async { rateLimiter.takeSpare(1, 500.milliseconds) } }
             testScheduler.runCurrent()
-            repeat(10) { pacer.take(1, urgent = false) }
+            repeat(10) { rateLimiter.take(1, urgent = false) }
             assertEquals(0L, currentTime, "reads wait for no question")
             val served = questions.awaitAll().count { it }
             assertTrue(served in 28..50, "$served questions were served")
@@ -36,16 +36,16 @@
     @Test
     fun `questions have their share while others use up the rate`() =
         runTest {
-            val pacer = pacer(20.0)
+            val rateLimiter = rateLimiter(20.0)
             val others =
                 launch {
-                    while (true) pacer.take(1, urgent = false)
+                    while (true) rateLimiter.take(1, urgent = false)
                 }
             delay(3.seconds)
             var served = 0
             val began = currentTime
             while (currentTime - began < 4000) {
-                if (pacer.takeSpare(1, 500.milliseconds)) served++ else delay(50.milliseconds)
+                if (rateLimiter.takeSpare(1, 500.milliseconds)) served++ else delay(50.milliseconds)
             }
             others.cancel()
             assertTrue(served in 16..24, "$served questions in 4 s")
@@ -54,10 +54,10 @@
     @Test
     fun `questions are served again as the rate allows`() =
         runTest {
-            val pacer = pacer(40.0)
-            while (pacer.takeSpare(1, 0.milliseconds)) Unit
+            val rateLimiter = rateLimiter(40.0)
+            while (rateLimiter.takeSpare(1, 0.milliseconds)) Unit
             val before = currentTime
-            repeat(20) { assertTrue(pacer.takeSpare(1, 500.milliseconds)) }
+            repeat(20) { assertTrue(rateLimiter.takeSpare(1, 500.milliseconds)) }
             assertTrue(currentTime - before in 450..550, "${currentTime - before} ms")
         }
 }
