--- a/src/main/kotlin/umberslip/agents/FollowerLeaseRenewal.kt
+++ b/src/main/kotlin/umberslip/agents/FollowerLeaseRenewal.kt
@@ -39,11 +39,11 @@
     companion object {
         private const val MACHINES_PER_CONNECTION = 8
 
-        /** The term and the orders to answer with; null where the heartbeat must not be answered with 200. */
+        /** What to answer; null where the heartbeat must not be answered with 200. */
         fun answer(
             heartbeat: Heartbeat,
             records: RecordView,
-        ): Pair<Long, List<WorkerCommand>>? {
+        ): HeartbeatResponse? {
             val leader = records.leader?.value ?: return null
             if (heartbeat.fencingToken > leader.term) return null
             if (records.revokedRenewals
@@ -57,7 +57,7 @@
                 heartbeat.tasks
                     .filter { it.status != TaskState.EXITED && records.job(it.task.job)?.value?.cancelled == true }
                     .map { WorkerCommand.Stop(it.task, it.attempt, 0.0) }
-            return leader.term.value to stops
+            return HeartbeatResponse(leader.term, stops)
         }
     }
 }
--- a/src/main/kotlin/umberslip/agents/Heartbeat.kt
+++ b/src/main/kotlin/umberslip/agents/Heartbeat.kt
@@ -143,39 +143,3 @@
         ): T = value ?: throw MalformedMessageException("$name is missing")
     }
 }
-
-/** A command to a worker. */
-sealed interface WorkerCommand {
-    val task: TaskId
-    val attempt: Long
-
-    fun toMap(): Map<String, Any?>
-
-    data class Start(
-        override val task: TaskId,
-        override val attempt: Long,
-    ) : WorkerCommand {
-        override fun toMap() = mapOf("verb" to "start", "piece" to task.toString(), "try" to attempt)
-    }
-
-    data class Stop(
-        override val task: TaskId,
-        override val attempt: Long,
-        val gracePeriodSeconds: Double,
-    ) : WorkerCommand {
-        override fun toMap() =
-            mapOf(
-                "verb" to "stop",
-                "piece" to task.toString(),
-                "try" to attempt,
-                "wind_down_s" to gracePeriodSeconds,
-            )
-    }
-
-    data class Clear(
-        override val task: TaskId,
-        override val attempt: Long,
-    ) : WorkerCommand {
-        override fun toMap() = mapOf("verb" to "clear", "piece" to task.toString(), "try" to attempt)
-    }
-}
--- a/src/main/kotlin/umberslip/api/JobApi.kt
+++ b/src/main/kotlin/umberslip/api/JobApi.kt
@@ -155,7 +155,7 @@
     ) {
         if (open >= MAX_OPEN) {
             refused.increment()
-            respond(Response.later(2, "too many requests at once"))
+            respond(Response.retryAfter(2, "too many requests at once"))
             return
         }
         open++
@@ -175,7 +175,7 @@
     private fun undecided(): Response {
         refused.increment()
         // Users keep their connections: one that others may serve is let go, to be led to another.
-        return Response.later(1, "the state service gives no answer", close = !ready())
+        return Response.retryAfter(1, "the state service gives no answer", close = !ready())
     }
 
     private fun submit(message: JobApiMessage.Submit) {
@@ -192,12 +192,12 @@
             }
         if (objection == null && instanceTypes == null) {
             refused.increment()
-            message.respond(Response.later(1, "the machine types are not known yet"))
+            message.respond(Response.retryAfter(1, "the machine types are not known yet"))
             return
         }
         if (objection == null && queue.size >= MAX_QUEUE) {
             refused.increment()
-            message.respond(Response.later(2, "too many submissions at once"))
+            message.respond(Response.retryAfter(2, "too many submissions at once"))
             return
         }
         answer(message.respond) { decide(spec, objection) }
--- a/src/main/kotlin/umberslip/cli/Recovery.kt
+++ b/src/main/kotlin/umberslip/cli/Recovery.kt
@@ -13,7 +13,9 @@
 import umberslip.settings.Settings
 import java.util.concurrent.Callable
 
-/** Shows how far the leader has come after a takeover. Only reads, from the key-value store and controllers' metrics. */
+/**
+ * Shows how far the leader has come after a takeover. Only reads, from the key-value store and controllers' metrics.
+ */
 @Command(
     name = "recovery",
     mixinStandardHelpOptions = true,
--- a/src/main/kotlin/umberslip/cloud/Cloud.kt
+++ b/src/main/kotlin/umberslip/cloud/Cloud.kt
@@ -46,7 +46,10 @@
     val spot: Boolean,
 )
 
-/** The cloud by its published protocol; throws [ServiceUnavailableException] or [NoResponseException] as the key-value store does. */
+/**
+ * The cloud by its published protocol; throws [ServiceUnavailableException] or [NoResponseException] as the key-value
+ * store does.
+ */
 interface Cloud {
     suspend fun instanceTypes(): List<InstanceType>
 
--- a/src/main/kotlin/umberslip/daemon/Controller.kt
+++ b/src/main/kotlin/umberslip/daemon/Controller.kt
@@ -113,10 +113,10 @@
             object : LeadershipListener {
                 override fun elected(
                     records: RecordView,
-                    silentUntil: Duration,
+                    formerLeaseExpiry: Duration,
                 ) {
                     provisioner.elected(records.bootingMachines, leaderLease.term == Term.FIRST)
-                    leader.enqueue(LeaderMessage.Elected(records, silentUntil))
+                    leader.enqueue(LeaderMessage.Elected(records, formerLeaseExpiry))
                 }
 
                 override fun steppedDown() {
@@ -175,7 +175,7 @@
     private fun ready(): Boolean = readiness.ready(recordWatcher.confirmedAt, clock.now(), peerHealth())
 
     /** Another controller wrote something that the leader should see soon. */
-    fun news() {
+    fun refreshRecords() {
         recordWatcher.trySend(RecordWatcherMessage.Refresh)
     }
 
@@ -214,7 +214,7 @@
                         if (ready()) {
                             Response(200, mapOf("ready" to true))
                         } else {
-                            Response.later(1, "the state service does not serve this controller")
+                            Response.retryAfter(1, "the state service does not serve this controller")
                         },
                     )
                 }
@@ -260,7 +260,7 @@
         taken: Boolean,
         respond: (Response) -> Unit,
     ) {
-        if (!taken) respond(Response.later(2, TOO_BUSY))
+        if (!taken) respond(Response.retryAfter(2, TOO_BUSY))
     }
 
     private fun beat(
@@ -280,12 +280,12 @@
         // Here its lease is renewed while the record stands; else it asks around. The record may be that
         // of this member's former process: after all have ended, every second of a lease counts.
         if (leaderMember == null || renewalsInFlight >= settings.sockets) {
-            respond(Response.NOT_HERE)
+            respond(Response.MISDIRECTED)
             return
         }
         val heartbeat = read(request)
         if (!served() || !followerLeaseRenewal.isNew(heartbeat)) {
-            respond(Response.NOT_HERE)
+            respond(Response.MISDIRECTED)
             return
         }
         renewalsInFlight++
@@ -293,11 +293,7 @@
             val answer = recordWatcher.confirm()?.let { FollowerLeaseRenewal.answer(heartbeat, it) }
             renewalsInFlight--
             respond(
-                if (answer == null) {
-                    Response.NOT_HERE
-                } else {
-                    Response(200, mapOf("warrant" to answer.first, "orders" to answer.second.map { it.toMap() }))
-                },
+                if (answer == null) Response.MISDIRECTED else Response(200, answer.toMap()),
             )
         }
     }
--- a/src/main/kotlin/umberslip/daemon/Daemon.kt
+++ b/src/main/kotlin/umberslip/daemon/Daemon.kt
@@ -45,7 +45,7 @@
     private val cloud =
         HttpCloud(HttpClient(group, settings.cloudAddress, MAX_BODY), RateLimiter(settings.cloudRps * CLOUD_SHARE, clock))
     private val peers: Peers =
-        Peers(scope, group, settings.member, settings.known, clock, { controller.news() }, { controller.served() })
+        Peers(scope, group, settings.member, settings.known, clock, { controller.refreshRecords() }, { controller.served() })
     private val controller =
         Controller(
             scope,
--- a/src/main/kotlin/umberslip/daemon/Readiness.kt
+++ b/src/main/kotlin/umberslip/daemon/Readiness.kt
@@ -23,7 +23,7 @@
         readAt: Duration?,
         now: Duration,
         peerHealth: PeerHealth,
-    ): Boolean = served(readAt, now) || (readAt != null && (alone || peerHealth == PeerHealth.AWAY))
+    ): Boolean = served(readAt, now) || (readAt != null && (alone || peerHealth == PeerHealth.UNSERVED))
 
     private companion object {
         val LATELY = 2500.milliseconds
--- a/src/main/kotlin/umberslip/http/HttpServer.kt
+++ b/src/main/kotlin/umberslip/http/HttpServer.kt
@@ -45,14 +45,14 @@
 ) {
     companion object {
         /** Asks the sender to come back; always answered at once, never held back. */
-        fun later(
+        fun retryAfter(
             seconds: Int,
             why: String,
             close: Boolean = false,
         ) = Response(503, mapOf("error" to why), seconds, close = close)
 
         /** To a worker: not here, and nobody is known to be the one; it asks around. */
-        val NOT_HERE = Response(421, emptyMap<String, Any?>())
+        val MISDIRECTED = Response(421, emptyMap<String, Any?>())
 
         fun error(
             status: Int,
@@ -155,7 +155,7 @@
                 respond(Response.error(400, e.message ?: "malformed"))
             } catch (e: Exception) {
                 log.error("{} {} failed", request.method, request.path, e)
-                respond(Response.later(1, "internal error"))
+                respond(Response.retryAfter(1, "internal error"))
             }
         }
 
--- a/src/main/kotlin/umberslip/leadership/LeaderElection.kt
+++ b/src/main/kotlin/umberslip/leadership/LeaderElection.kt
@@ -142,7 +142,7 @@
 interface LeadershipListener {
     fun elected(
         records: RecordView,
-        silentUntil: Duration,
+        formerLeaseExpiry: Duration,
     )
 
     fun steppedDown()
--- a/src/main/kotlin/umberslip/peers/Peers.kt
+++ b/src/main/kotlin/umberslip/peers/Peers.kt
@@ -84,10 +84,10 @@
     SERVED,
 
     /** It serves none of them. */
-    AWAY,
+    UNSERVED,
 
     /** None can be reached. */
-    NONE,
+    UNREACHABLE,
 }
 
 sealed interface PeersMessage {
@@ -132,9 +132,9 @@
         return if (near.any { othersServed[it.member] == true }) {
             PeerHealth.SERVED
         } else if (near.isEmpty()) {
-            PeerHealth.NONE
+            PeerHealth.UNREACHABLE
         } else {
-            PeerHealth.AWAY
+            PeerHealth.UNSERVED
         }
     }
 
--- a/src/main/kotlin/umberslip/provisioning/CapacityPlanner.kt
+++ b/src/main/kotlin/umberslip/provisioning/CapacityPlanner.kt
@@ -104,7 +104,7 @@
         private fun addMachine(machine: MachineSnapshot) {
             val resources = machine.capacity ?: return
             if (machine.isQuarantined || machine.interruptedIn != null) return
-            if (machine.silentFor == null || machine.silentFor > SILENT) return
+            if (machine.sinceContact == null || machine.sinceContact > SILENT) return
             running[machine.name] = machine.running.sumOf { need(it.resources, it.seconds, resources, drain) }
             val need = machine.running.sumOf { need(it.resources, it.seconds, resources, drain + boot) }
             val left = (resources.cpus - need).coerceAtLeast(0.0)
--- a/src/main/kotlin/umberslip/provisioning/Provisioner.kt
+++ b/src/main/kotlin/umberslip/provisioning/Provisioner.kt
@@ -150,7 +150,7 @@
         val term = leaderLease.term ?: return
         val view = view() ?: return
         val now = clock.now()
-        for (m in view.machines) if (m.silentFor != null) booting.remove(m.name)
+        for (m in view.machines) if (m.sinceContact != null) booting.remove(m.name)
         if (listedAt?.let { now - it > LIST_EVERY } != false) list(view, now)
         if (now < settledAt) return
         giveUpBooting(view, now)
@@ -180,7 +180,7 @@
 
     private fun summarize(view: ClusterSnapshot) {
         fun cpus(of: List<MachineSnapshot>) = of.sumOf { it.capacity?.cpus ?: 0.0 }.toInt()
-        val up = view.machines.filter { it.silentFor != null }
+        val up = view.machines.filter { it.sinceContact != null }
         log.info(
             "up {} processors ({} spot, {} draining, {} quarantined), {} in use ({} run, {} fetch), {} booting; " +
                 "waiting {} for {} processor seconds",
@@ -265,7 +265,7 @@
         for (machineName in all) {
             if (machineName.name in gone || machineName.name in releases) continue
             val machine = reporting[machineName.name]
-            val heard = machine?.silentFor
+            val heard = machine?.sinceContact
             when {
                 machineName.status == MachineStatus.FAILED -> releases += machineName.name
                 heard != null -> Unit
@@ -294,7 +294,7 @@
         view: ClusterSnapshot,
         listBegan: Duration,
     ) {
-        val known = view.machines.map { KnownMachine(it.name, it.rentedBefore, it.unheardFor) }
+        val known = view.machines.map { KnownMachine(it.name, it.provisionedBefore, it.sinceAnyContact) }
         val listed = all.mapTo(HashSet()) { it.name }
         val missing = missingMachines?.of(listBegan, listed, known).orEmpty().filter { it !in releases && it !in gone }
         if (missing.isEmpty()) return
@@ -308,7 +308,7 @@
     ) {
         val heardZones =
             view.machines
-                .filter { m -> m.silentFor.let { it != null && it < settings.workers.lease } }
+                .filter { m -> m.sinceContact.let { it != null && it < settings.workers.lease } }
                 .map { it.offer.zone }
                 .toSet()
         for (b in booting.values.toList()) {
@@ -377,7 +377,7 @@
     private fun silent(view: ClusterSnapshot): List<MachineName> {
         val patience = settings.workers.lease * SILENT_SHARE
 
-        fun timeSinceContact(m: MachineSnapshot): Duration = m.unheardFor
+        fun timeSinceContact(m: MachineSnapshot): Duration = m.sinceAnyContact
         val heard =
             view.machines.groupBy { it.offer.zone }.mapValues { (_, all) ->
                 all.count { timeSinceContact(it) < settings.workers.heartbeatInterval * 3 } * 2 > all.size
@@ -394,7 +394,7 @@
                 // The machines of a zone that is silent as a whole come back, empty, when the cut ends.
                 (
                     m.leaseExpired &&
-                        m.silentFor != null &&
+                        m.sinceContact != null &&
                         timeSinceContact(m) > patience &&
                         (m.offer.zone !in silentZones || timeSinceContact(m) > CUT_PATIENCE)
                 ) ||
--- a/src/main/kotlin/umberslip/records/RecordReplica.kt
+++ b/src/main/kotlin/umberslip/records/RecordReplica.kt
@@ -58,7 +58,10 @@
     fun progress(id: JobId): Progress
 }
 
-/** This controller's copy of the records of all jobs that have not ended. Pure state; the reading is the [RecordWatcher]'s. */
+/**
+ * This controller's copy of the records of all jobs that have not ended. Pure state; the reading is the
+ * [RecordWatcher]'s.
+ */
 class RecordReplica : RecordView {
     private val log = LoggerFactory.getLogger("umberslip.records")
     private val jobs = HashMap<JobId, Versioned<JobRecord>>()
--- a/src/main/kotlin/umberslip/recovery/MissingMachines.kt
+++ b/src/main/kotlin/umberslip/recovery/MissingMachines.kt
@@ -8,8 +8,8 @@
 /** A machine that the leader knows of, and since when it is known to have been rented. */
 class KnownMachine(
     val name: MachineName,
-    val rentedBefore: Duration,
-    val silentFor: Duration,
+    val provisionedBefore: Duration,
+    val sinceContact: Duration,
 )
 
 /**
@@ -36,7 +36,7 @@
         machines: Collection<KnownMachine>,
     ): List<MachineName> =
         machines
-            .filter { it.name !in listed && listBegan >= it.rentedBefore + listedWithin && it.silentFor > heardLately }
+            .filter { it.name !in listed && listBegan >= it.provisionedBefore + listedWithin && it.sinceContact > heardLately }
             .map { it.name }
 
     private companion object {
--- a/src/main/kotlin/umberslip/recovery/ReconciliationFinding.kt
+++ b/src/main/kotlin/umberslip/recovery/ReconciliationFinding.kt
@@ -28,8 +28,8 @@
 
 /**
  * How a new leader finds a task, by the records that it took over and by the first heartbeat that proves what is on the
- * task's machine. Each finding has one decision. It is taken with the answer to that report; until such a heartbeat comes,
- * the task counts as running (see [RecoveryTracker.unheardMachines]).
+ * task's machine. Each finding has one decision. It is taken with the answer to that report; until such a heartbeat
+ * comes, the task counts as running (see [RecoveryTracker.unheardMachines]).
  */
 enum class ReconciliationFinding(
     val decision: ReconciliationDecision,
--- a/src/main/kotlin/umberslip/scheduling/ClusterSnapshot.kt
+++ b/src/main/kotlin/umberslip/scheduling/ClusterSnapshot.kt
@@ -49,12 +49,12 @@
     val interruptedIn: Duration?,
     val tasks: Int,
     val running: List<RunningTask>,
-    val silentFor: Duration?,
-    /** As [silentFor], with what other controllers heard. */
-    val unheardFor: Duration,
+    val sinceContact: Duration?,
+    /** As [sinceContact], with what other controllers heard. */
+    val sinceAnyContact: Duration,
     val leaseExpired: Boolean,
     /** A time by which it was rented for certain. */
-    val rentedBefore: Duration,
+    val provisionedBefore: Duration,
     val runningCpus: Double,
     val fetchingCpus: Double,
 )
@@ -90,8 +90,8 @@
                     cpus -= tasks * job.resources.cpus
                     val daemon = job.spec.shape == Shape.DAEMON
                     val seconds = if (daemon) LONG else job.expected
-                    val time = if (daemon) LONG.seconds else job.expectedTime
-                    val slack = job.targets.firstOrNull { it > now + time }?.let { it - now - time } ?: PATIENT
+                    val time = if (daemon) LONG.seconds else job.expectedRunTime
+                    val slack = job.objectiveDeadlines.firstOrNull { it > now + time }?.let { it - now - time } ?: PATIENT
                     // What the limit holds back follows in the same places, one after the other.
                     waiting += PendingWork(where(job), job.resources, tasks, seconds * job.waiting / tasks, slack)
                 }
--- a/src/main/kotlin/umberslip/scheduling/DependencyGraph.kt
+++ b/src/main/kotlin/umberslip/scheduling/DependencyGraph.kt
@@ -32,7 +32,7 @@
     private var ranked: Map<RunningJob, InheritedPriority> = emptyMap()
 
     /** A job came, in any order with those that it needs; answered with all that are cancelled by that. */
-    fun came(job: RunningJob): List<RunningJob> {
+    fun added(job: RunningJob): List<RunningJob> {
         val id = job.spec.id
         unreadEnds -= id
         for (needed in job.spec.dependencies) {
@@ -81,7 +81,7 @@
         val waiting = needing.remove(id) ?: return emptyList()
         changed = true
         waiting.forEach { it.pending -= id }
-        if (end == JobOutcome.DONE) return waiting.filter { !it.held }
+        if (end == JobOutcome.DONE) return waiting.filter { !it.isBlocked }
         return waiting.filter { !it.dependencyCancelled }.flatMap { job ->
             job.dependencyCancelled = true
             cancelDependents(job) + job
@@ -89,7 +89,7 @@
     }
 
     /** It is no longer among the unfinished jobs; how it ended may be told later. */
-    fun gone(job: RunningJob) {
+    fun removed(job: RunningJob) {
         val id = job.spec.id
         for (needed in job.pending) {
             val waiting = needing[needed] ?: continue
@@ -118,7 +118,7 @@
             val job = open.removeFirst()
             if (job.dependencyCancelled || job.cancelled) continue
             val rank = of(job)
-            val deadlines = (job.deadlines + rank.deadlines).map { it - job.expectedTime }
+            val deadlines = (job.deadlines + rank.deadlines).map { it - job.expectedRunTime }
             for (needed in job.pending) {
                 val other = jobs[needed] ?: continue
                 val known = of(other)
--- a/src/main/kotlin/umberslip/scheduling/Dispatcher.kt
+++ b/src/main/kotlin/umberslip/scheduling/Dispatcher.kt
@@ -59,9 +59,9 @@
 
     /** As time passes, targets move out of reach. */
     fun reorder(now: Duration) {
-        for (job in queue.filter { it.reachable != it.reachableAt(now) }) {
+        for (job in queue.filter { it.nextReachableDeadline != it.nextReachableDeadlineAt(now) }) {
             queue.remove(job)
-            job.reachable = job.reachableAt(now)
+            job.nextReachableDeadline = job.nextReachableDeadlineAt(now)
             queue.add(job)
         }
     }
@@ -146,7 +146,7 @@
     private fun hasTime(
         job: RunningJob,
         now: Duration,
-    ): Boolean = now - job.lastPlaced < PASSED_OVER && job.reachable - now - job.expectedTime > TIGHT
+    ): Boolean = now - job.lastPlaced < PASSED_OVER && job.nextReachableDeadline - now - job.expectedRunTime > TIGHT
 
     /** Whether a task of this job may be placed on that machine now; [within] is how long the machine stays. */
     fun mayPlace(
@@ -165,7 +165,7 @@
         if (
             within.isFinite() &&
             now - job.lastPlaced < OVERDUE &&
-            (job.expectedTime > within || job.spec.image !in machine.images)
+            (job.expectedRunTime > within || job.spec.image !in machine.images)
         ) {
             return false
         }
@@ -221,7 +221,7 @@
 
         /** New work waits for a machine that has its image for this long. */
         private val HOLD = 1500.milliseconds
-        private val ORDER = compareBy<RunningJob>({ it.priority }, { it.reachable }, { it.spec.id.value })
+        private val ORDER = compareBy<RunningJob>({ it.priority }, { it.nextReachableDeadline }, { it.spec.id.value })
 
         /** Whether a job's task may be on a machine at all, and given where the job's other tasks are. */
         fun allowed(
--- a/src/main/kotlin/umberslip/scheduling/JobObjectives.kt
+++ b/src/main/kotlin/umberslip/scheduling/JobObjectives.kt
@@ -13,10 +13,10 @@
     private val objectives: List<Objective>,
 ) {
     /**
-     * The targets of a job, the earliest first; at least one. What the objectives say of its class counts from
-     * [ready], when it could run; its own deadline counts from [submitted], however long it waited for others.
+     * The objectiveDeadlines of a job, the earliest first; at least one. What the objectives say of its class counts
+     * from [ready], when it could run; its own deadline counts from [submitted], however long it waited for others.
      */
-    fun targets(
+    fun objectiveDeadlines(
         spec: JobSpec,
         submitted: Duration,
         ready: Duration,
--- a/src/main/kotlin/umberslip/scheduling/Leader.kt
+++ b/src/main/kotlin/umberslip/scheduling/Leader.kt
@@ -7,6 +7,7 @@
 import kotlinx.coroutines.launch
 import umberslip.actor.Actor
 import umberslip.agents.Heartbeat
+import umberslip.agents.HeartbeatResponse
 import umberslip.agents.HeartbeatVersion
 import umberslip.agents.WorkerCommand
 import umberslip.cloud.InstanceType
@@ -47,7 +48,7 @@
 
     class Elected(
         val records: RecordView,
-        val silentUntil: Duration,
+        val formerLeaseExpiry: Duration,
     ) : LeaderMessage
 
     data object SteppedDown : LeaderMessage
@@ -172,7 +173,7 @@
             is LeaderMessage.ContinueDispatch -> continueDispatch(message, now)
             is LeaderMessage.OutcomeRead -> {
                 if (message.scheduler === scheduler && message.end != null) {
-                    message.scheduler.ended(message.id, message.end, now)
+                    message.scheduler.dependencyEnded(message.id, message.end, now)
                 }
             }
             LeaderMessage.Tick -> tick(now)
@@ -197,7 +198,7 @@
                     },
                 )
             }
-            is LeaderMessage.Terminated -> scheduler?.released(message.machineNames, now)
+            is LeaderMessage.Terminated -> scheduler?.terminated(message.machineNames, now)
         }
     }
 
@@ -211,7 +212,7 @@
         val fresh =
             SchedulerState(settings, timings, term, version, wallClock, reconciliationObserver = observer)
         fresh.setInstanceTypes(instanceTypes)
-        fresh.load(message.records, now, message.silentUntil)
+        fresh.load(message.records, now, message.formerLeaseExpiry)
         scheduler = fresh
         askedEnds.clear()
         readEnds(fresh, now)
@@ -291,7 +292,7 @@
         }
         heartbeats.increment()
         if (mayBeReplaced(heartbeat.machineName, now)) {
-            respond(Response.NOT_HERE)
+            respond(Response.MISDIRECTED)
             return
         }
         when (scheduler.heartbeat(heartbeat, now)) {
@@ -301,8 +302,8 @@
                 leaderLease.superseded()
             }
             HeartbeatDisposition.TOKEN_BEHIND -> {
-                scheduler.answered(heartbeat.machineName, now)
-                respond(Response(200, mapOf("warrant" to scheduler.term.value, "orders" to emptyList<Any>())))
+                scheduler.leaseRenewed(heartbeat.machineName, now)
+                respond(Response(200, HeartbeatResponse(scheduler.term).toMap()))
             }
             HeartbeatDisposition.ACCEPTED -> {
                 waiting.remove(heartbeat.machineName)?.respond?.invoke(REFUSED)
@@ -321,7 +322,7 @@
         machineName: MachineName,
         now: Duration,
     ): Boolean {
-        if (leaderLease.mayStart(now) || peerHealth() != PeerHealth.NONE) {
+        if (leaderLease.mayStart(now) || peerHealth() != PeerHealth.UNREACHABLE) {
             sentAway.clear()
             return false
         }
@@ -358,8 +359,8 @@
         }
         val commands = scheduler.commands(machine, leaderLease.mayStart(now))
         commands.forEach { if (it is WorkerCommand.Start) starts.increment() }
-        scheduler.answered(machine.name, now)
-        waiter.respond(Response(200, mapOf("warrant" to scheduler.term.value, "orders" to commands.map { it.toMap() })))
+        scheduler.leaseRenewed(machine.name, now)
+        waiter.respond(Response(200, HeartbeatResponse(scheduler.term, commands).toMap()))
     }
 
     private fun tick(now: Duration) {
@@ -555,6 +556,6 @@
         val ASK_AGAIN = 2.seconds
         const val MAX_ASKED = 10
         val MIN_BATCH_INTERVAL = 75.milliseconds
-        val REFUSED = Response.later(1, "not the owner, or an old report")
+        val REFUSED = Response.retryAfter(1, "not the owner, or an old report")
     }
 }
--- a/src/main/kotlin/umberslip/scheduling/LogCompaction.kt
+++ b/src/main/kotlin/umberslip/scheduling/LogCompaction.kt
@@ -8,10 +8,10 @@
 /**
  * What the log has to hold of a progress block, written anew into as few entries as possible.
  *
- * A progress record may be larger than a value while most of its tasks run, since progress blocks are cut by the first of
- * the key-value store's limits. Until it fits, every log entry that names the progress block is kept. A copy of all that those
- * entries still say makes them free. It is an ordinary entry of the log, which every version reads: later entries
- * win over earlier ones, and a start that ended meanwhile is settled by its machine's next heartbeat.
+ * A progress record may be larger than a value while most of its tasks run, since progress blocks are cut by the
+ * first of the key-value store's limits. Until it fits, every log entry that names the progress block is kept. A copy
+ * of all that those entries still say makes them free. It is an ordinary entry of the log, which every version reads:
+ * later entries win over earlier ones, and a start that ended meanwhile is settled by its machine's next heartbeat.
  */
 class LogCompaction(
     block: ProgressBlock,
--- a/src/main/kotlin/umberslip/scheduling/RunningJob.kt
+++ b/src/main/kotlin/umberslip/scheduling/RunningJob.kt
@@ -42,7 +42,7 @@
     var runningSince: Duration? = null
 
     /** What it should still need, by its job's expected run time; null until it runs. */
-    fun left(now: Duration): Duration? = runningSince?.let { job.expectedTime - (now - it) }
+    fun left(now: Duration): Duration? = runningSince?.let { job.expectedRunTime - (now - it) }
 
     /** It runs, saves when stopped, and began at least [settled] ago, so it can go on elsewhere at little loss. */
     fun mayMigrate(
@@ -69,7 +69,7 @@
     /** When its user first handed it in. */
     val submittedAt: Duration,
     /** The times by which its users want it done, the earliest first; at least one. */
-    targets: List<Duration>,
+    objectiveDeadlines: List<Duration>,
     /** Those of them that its own deadline sets; they hold for the jobs that it needs, too. */
     val deadlines: List<Duration> = emptyList(),
 ) {
@@ -79,28 +79,28 @@
     /** A job that it needs is cancelled, so it can never be done. */
     var dependencyCancelled = false
 
-    val held: Boolean get() = dependencyCancelled || pending.isNotEmpty()
+    val isBlocked: Boolean get() = dependencyCancelled || pending.isNotEmpty()
 
     /** From when on it could run: it was handed in, or the last job that it needs was done. */
     var runnableSince: Duration = submittedAt
         private set
-    private var own = targets
+    private var own = objectiveDeadlines
     private var inherited = emptyList<Duration>()
 
-    /** Its own targets and those that it has for the sake of jobs that need it. */
-    var targets: List<Duration> = targets
+    /** Its own objectiveDeadlines and those that it has for the sake of jobs that need it. */
+    var objectiveDeadlines: List<Duration> = objectiveDeadlines
         private set
-    val due: Duration get() = targets.first()
+    val due: Duration get() = objectiveDeadlines.first()
 
     /** The next target that it can still meet; its place in the queue goes by it. */
-    var reachable: Duration = due
+    var nextReachableDeadline: Duration = due
 
     /** The highest of its own and of any unfinished job that needs it. */
     var priority: Priority = spec.priority
         private set
 
     /** The last job that it needs is done: what its users wait for counts from now on. */
-    fun ready(
+    fun becomeRunnable(
         own: List<Duration>,
         now: Duration,
     ) {
@@ -112,7 +112,7 @@
     }
 
     /** For the sake of jobs that need it. */
-    fun rank(
+    fun inherit(
         priority: Priority,
         inherited: List<Duration>,
         now: Duration,
@@ -123,8 +123,8 @@
     }
 
     private fun retarget(now: Duration) {
-        targets = (own + inherited).sorted()
-        reachable = reachableAt(now)
+        objectiveDeadlines = (own + inherited).sorted()
+        nextReachableDeadline = nextReachableDeadlineAt(now)
     }
 
     val resources = Resources(spec.cpus, spec.gpus, spec.memoryGb)
@@ -141,10 +141,10 @@
 
     val cancelled: Boolean get() = record.value.cancelled
     val finished: Boolean get() = doneCount == spec.tasks
-    val waiting: Int get() = if (cancelled || held) 0 else spec.tasks - doneCount - assigned.size
+    val waiting: Int get() = if (cancelled || isBlocked) 0 else spec.tasks - doneCount - assigned.size
 
     /** Nothing of it runs or will run. */
-    val over: Boolean get() = if (cancelled || dependencyCancelled) assigned.isEmpty() else finished
+    val isTerminal: Boolean get() = if (cancelled || dependencyCancelled) assigned.isEmpty() else finished
 
     fun isDone(index: Int): Boolean = done.get(index)
 
@@ -174,13 +174,13 @@
     val expected: Double get() = observedSeconds ?: spec.expectedSeconds.coerceAtLeast(1.0)
 
     /** [expected] as a time; kept, since it is asked for with every task that is looked at. */
-    var expectedTime: Duration = expected.seconds
+    var expectedRunTime: Duration = expected.seconds
         private set
 
     fun observed(took: Duration) {
         val seconds = took.toDouble(DurationUnit.SECONDS)
         observedSeconds = observedSeconds?.let { it * (1 - NEWEST_SHARE) + seconds * NEWEST_SHARE } ?: seconds
-        expectedTime = expected.seconds
+        expectedRunTime = expected.seconds
     }
 
     /** How long a gang may gather slots; doubles whenever it had to give them back. */
@@ -198,7 +198,7 @@
 
     /** The next task to place, without taking it; null where none waits. */
     fun peek(): Int? {
-        if (cancelled || held) return null
+        if (cancelled || isBlocked) return null
         returned.firstOrNull()?.let { return it }
         while (fresh < spec.tasks && (done.get(fresh) || assigned.containsKey(fresh))) fresh++
         return if (fresh < spec.tasks) fresh else null
@@ -247,9 +247,9 @@
     /**
      * Work that is late for one target makes way for what can still be in time, but for the next one it counts again.
      */
-    fun reachableAt(now: Duration): Duration =
-        targets.firstOrNull { now + expectedTime <= it }
-            ?: (targets.last() + LATE)
+    fun nextReachableDeadlineAt(now: Duration): Duration =
+        objectiveDeadlines.firstOrNull { now + expectedRunTime <= it }
+            ?: (objectiveDeadlines.last() + LATE)
 
     private companion object {
         val LATE = 1.hours
--- a/src/main/kotlin/umberslip/scheduling/SchedulerState.kt
+++ b/src/main/kotlin/umberslip/scheduling/SchedulerState.kt
@@ -81,13 +81,13 @@
 
     /**
      * Takes the records as they stand. A machine that the records name keeps its tasks until its
-     * report carries this term, or until [silentUntil]: by then every lease that a former leader
+     * report carries this term, or until [formerLeaseExpiry]: by then every lease that a former leader
      * can have renewed has run out.
      */
     fun load(
         records: RecordView,
         now: Duration,
-        silentUntil: Duration,
+        formerLeaseExpiry: Duration,
     ) {
         for ((id, job) in records.jobs()) jobChanged(id, job, now)
         for ((id, blocks) in records.progressRecords()) {
@@ -98,11 +98,11 @@
             }
             for ((number, record) in blocks) {
                 job.load(number, record)
-                for (p in record.value.placed) placed(job, p, now, silentUntil)
+                for (p in record.value.placed) placed(job, p, now, formerLeaseExpiry)
             }
         }
         for ((number, record) in records.log().entries.sortedBy { it.value.value.seq }) {
-            load(number, record, records, now, silentUntil)
+            load(number, record, records, now, formerLeaseExpiry)
         }
         records.revokedRenewals?.let {
             writeAheadLog.load(it, machines.keys)
@@ -120,7 +120,7 @@
         record: Versioned<LogRecord>,
         records: RecordView,
         now: Duration,
-        silentUntil: Duration,
+        formerLeaseExpiry: Duration,
     ) {
         val named = LinkedHashSet<ProgressBlock>()
         for ((id, row) in record.value.rows) {
@@ -133,7 +133,7 @@
                 if (isIn(block)) continue
                 // Later entries win: a task goes elsewhere only after it was certainly gone.
                 job.assigned[p.index]?.let(::detach)
-                if (!job.isDone(p.index)) placed(job, p, now, silentUntil)
+                if (!job.isDone(p.index)) placed(job, p, now, formerLeaseExpiry)
                 block.lastAttempt = maxOf(block.lastAttempt, p.attempt)
                 block.startLogged(p)
                 named += block
@@ -153,12 +153,12 @@
         job: RunningJob,
         p: Placement,
         now: Duration,
-        silentUntil: Duration,
+        formerLeaseExpiry: Duration,
     ) {
         val machine =
             machines.getOrPut(p.machineName) {
                 Machine(p.machineName, "", "", false).also {
-                    it.leaseExpiry = silentUntil
+                    it.leaseExpiry = formerLeaseExpiry
                     it.loadedAt = now
                 }
             }
@@ -198,25 +198,25 @@
                 record,
                 tasksPerBlock,
                 now - age,
-                jobObjectives.targets(spec, now - age, now - age),
+                jobObjectives.objectiveDeadlines(spec, now - age, now - age),
                 jobObjectives.deadlines(spec, now - age),
             )
         job.assemblyTimeout = settings.workers.gangWait
         job.lastPlaced = now
         job.waitingSince = now
         jobs[id] = job
-        dependencyGraph.came(job).forEach(::changed)
+        dependencyGraph.added(job).forEach(::changed)
         changed(job)
     }
 
     /** How a job that others need ended, as its record says. */
-    fun ended(
+    fun dependencyEnded(
         id: JobId,
         end: JobOutcome,
         now: Duration,
     ) {
         for (job in dependencyGraph.ended(id, end)) {
-            if (!job.held) job.ready(jobObjectives.targets(job.spec, job.submittedAt, now), now)
+            if (!job.isBlocked) job.becomeRunnable(jobObjectives.objectiveDeadlines(job.spec, job.submittedAt, now), now)
             changed(job)
         }
     }
@@ -224,7 +224,7 @@
     /** What jobs take over from those that need them may have changed. */
     fun inheritPriorities(now: Duration) {
         for ((job, rank) in dependencyGraph.inheritPriorities()) {
-            teams[job.spec.team]?.reinsert(job) { job.rank(rank.priority, rank.deadlines, now) }
+            teams[job.spec.team]?.reinsert(job) { job.inherit(rank.priority, rank.deadlines, now) }
         }
     }
 
@@ -233,7 +233,7 @@
         if (jobs[job.spec.id] !== job) return
         teams[job.spec.team]?.refresh(job)
         starvationGuard.refresh(job)
-        writeAheadLog.over(job)
+        writeAheadLog.jobChanged(job)
     }
 
     fun renewedByFollower(
@@ -400,7 +400,7 @@
     }
 
     /** Bounds the leases that this leader's answer renews. */
-    fun answered(
+    fun leaseRenewed(
         name: MachineName,
         now: Duration,
     ) {
@@ -596,7 +596,7 @@
     }
 
     /** A release was answered with 200: the machines and all on them are gone. */
-    fun released(
+    fun terminated(
         names: List<MachineName>,
         now: Duration,
     ) {
@@ -622,9 +622,9 @@
         batch.revokedRenewals?.forEach { machineName ->
             machines[machineName]?.let { if (machineName in writeAheadLog.pendingRevocations && it.renewalRevokedAt == null) it.renewalRevokedAt = now }
         }
-        for ((job, end) in batch.over) {
+        for ((job, end) in batch.finishedJobs) {
             remove(job)
-            ended(job.spec.id, end, now)
+            dependencyEnded(job.spec.id, end, now)
         }
         return touched
     }
@@ -659,6 +659,6 @@
         teams[job.spec.team]?.remove(job)
         starvationGuard.remove(job)
         writeAheadLog.remove(job)
-        dependencyGraph.gone(job)
+        dependencyGraph.removed(job)
     }
 }
--- a/src/main/kotlin/umberslip/scheduling/StarvationGuard.kt
+++ b/src/main/kotlin/umberslip/scheduling/StarvationGuard.kt
@@ -5,10 +5,10 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Gives a share of the processors dispatched to the jobs that wait longest, whatever their priority and team, and the longer
- * they wait the larger it is. Under a lasting overload the order of priority alone would leave some of them waiting for
- * ever; so every job is reached in bounded time. While nobody has waited long, priority decides alone. Pure: time is an
- * input.
+ * Gives a share of the processors dispatched to the jobs that wait longest, whatever their priority and team, and the
+ * longer they wait the larger it is. Under a lasting overload the order of priority alone would leave some of them
+ * waiting for ever; so every job is reached in bounded time. While nobody has waited long, priority decides alone.
+ * Pure: time is an input.
  */
 class StarvationGuard {
     private val queue = TreeSet(compareBy<RunningJob>({ it.runnableSince }, { it.spec.id.value }))
--- a/src/main/kotlin/umberslip/scheduling/WriteAheadLog.kt
+++ b/src/main/kotlin/umberslip/scheduling/WriteAheadLog.kt
@@ -108,8 +108,8 @@
     val writes: List<Write>,
     val blocks: List<ProgressWrite>,
     val starts: List<Assignment>,
-    val ends: List<TaskExit>,
-    val over: List<Pair<RunningJob, JobOutcome>>,
+    val exits: List<TaskExit>,
+    val finishedJobs: List<Pair<RunningJob, JobOutcome>>,
     val obsoleteKeys: List<String>,
     val logged: List<Pair<Int, List<Pair<ProgressBlock, Long>>>>,
     /** Progress blocks that the batch copies in the log, each with the edit up to which it does so. */
@@ -187,13 +187,13 @@
         touch(block, now)
         val ending = TaskExit(a.job, a.index, a.attempt, done, block, block.edits, now)
         if (!starts.remove(a) || done) ends += ending
-        over(a.job)
+        jobChanged(a.job)
         return ending
     }
 
     /** Whether a job is over may have changed. */
-    fun over(job: RunningJob) {
-        if (job.over) over += job else over -= job
+    fun jobChanged(job: RunningJob) {
+        if (job.isTerminal) over += job else over -= job
     }
 
     fun remove(job: RunningJob) {
@@ -288,7 +288,7 @@
             for (block in dirty) {
                 if (writes.size >= maxOps || size >= maxBytes) break
                 if (lasting && (block.dirtySince ?: now) + LAZY > now) break
-                if (!block.job.over) add(block)
+                if (!block.job.isTerminal) add(block)
             }
             while (writes.size < maxOps && obsoleteKeys.isNotEmpty()) {
                 val key = obsoleteKeys.removeFirst()
@@ -320,13 +320,13 @@
         /** Starts wait for their record; ends come along, or go alone after a while. False where slots run out. */
         private fun log(): Boolean {
             val due =
-                starts.isNotEmpty() || (ends.firstOrNull { !it.job.over }?.let { now - it.since >= END_WAITS } ?: false)
+                starts.isNotEmpty() || (ends.firstOrNull { !it.job.isTerminal }?.let { now - it.since >= END_WAITS } ?: false)
             if (!due) return true
             val free = slots.filterTo(ArrayDeque()) { it.free }
             val lasting = free.size >= slots.size / RESERVE
             if (!lasting) copyOne(free)
             val openStarts = ArrayDeque(guardable())
-            val openEnds = ArrayDeque(ends.filter { !it.job.over })
+            val openEnds = ArrayDeque(ends.filter { !it.job.isTerminal })
             while (openStarts.isNotEmpty() || openEnds.isNotEmpty()) {
                 if (free.size <= COPY_SLOTS) return false
                 if (writes.size >= maxOps || size + valueBytes > maxBytes) break
@@ -341,7 +341,7 @@
             for (slot in slots) for (block in slot.reservedFor) entries.merge(block, 1, Int::plus)
             val blocks =
                 entries.keys
-                    .filter { !it.job.over && it.job.progressRecord(it, seq).bytes > valueBytes }
+                    .filter { !it.job.isTerminal && it.job.progressRecord(it, seq).bytes > valueBytes }
                     .sortedByDescending { entries.getValue(it) }
             for (block in blocks) {
                 val rows = LogCompaction(block).rows(valueBytes)
@@ -484,7 +484,7 @@
             slots[number].version = version
             slots[number].names(named)
         }
-        for (e in batch.ends) {
+        for (e in batch.exits) {
             e.logged = true
             ends -= e
         }
--- a/src/main/kotlin/umberslip/store/KeyValueStore.kt
+++ b/src/main/kotlin/umberslip/store/KeyValueStore.kt
@@ -109,7 +109,8 @@
 
     /**
      * As [get], for the questions of users. It gives way to all other requests: where these use up the rate, it is
-     * refused at once with [ServiceUnavailableException], so that questions never delay reads of the records, leases or writes.
+     * refused at once with [ServiceUnavailableException], so that questions never delay reads of the records, leases
+     * or writes.
      */
     suspend fun lookUp(key: String): Entry?
 
--- a/src/test/kotlin/umberslip/agents/FollowerLeaseRenewalTest.kt
+++ b/src/test/kotlin/umberslip/agents/FollowerLeaseRenewalTest.kt
@@ -47,15 +47,15 @@
         assertNull(answer(), "nobody owns")
         put(Keys.LEADER, LeaderRecord("c-1", Term(4), StoreLease(1)).toMap(), 1)
         put(Keys.job(spec.id), JobRecord(spec, Instant.EPOCH, false).toMap(), 2)
-        assertEquals(4L to emptyList<WorkerCommand>(), answer())
-        assertEquals(4L to emptyList<WorkerCommand>(), answer(fencingToken = 3))
+        assertEquals(HeartbeatResponse(Term(4), emptyList()), answer())
+        assertEquals(HeartbeatResponse(Term(4), emptyList()), answer(fencingToken = 3))
         assertNull(answer(fencingToken = 5), "the worker has seen a higher term")
         put(Keys.job(spec.id), JobRecord(spec, Instant.EPOCH, true).toMap(), 3)
-        assertEquals(4L to listOf(WorkerCommand.Stop(running.task, 7, 0.0)), answer(), "a cancellation bites here too")
+        assertEquals(HeartbeatResponse(Term(4), listOf(WorkerCommand.Stop(running.task, 7, 0.0))), answer(), "a cancellation bites here too")
         put(Keys.REVOKED_RENEWALS, MachineSetRecord(setOf(MachineName("m"))).toMap(), 4)
         assertNull(answer())
         put(Keys.REVOKED_RENEWALS, MachineSetRecord(emptySet()).toMap(), 5)
-        assertEquals(4L, answer()?.first)
+        assertEquals(Term(4), answer()?.term)
     }
 
     @Test
--- a/src/test/kotlin/umberslip/leadership/LeaderLeaseTest.kt
+++ b/src/test/kotlin/umberslip/leadership/LeaderLeaseTest.kt
@@ -73,7 +73,7 @@
         ) = a.storeServesOthersOnly(seconds.seconds, peerHealth)
         assertFalse(after(2.0, PeerHealth.SERVED), "within its own hold")
         assertFalse(after(3.1, PeerHealth.SERVED))
-        assertFalse(after(4.4, PeerHealth.AWAY))
+        assertFalse(after(4.4, PeerHealth.UNSERVED))
         assertFalse(after(5.0, PeerHealth.SERVED))
         assertFalse(after(6.9, PeerHealth.SERVED))
         assertTrue(after(7.1, PeerHealth.SERVED))
--- a/src/test/kotlin/umberslip/loopback/LoopbackWorkers.kt
+++ b/src/test/kotlin/umberslip/loopback/LoopbackWorkers.kt
@@ -73,7 +73,7 @@
         var fencingToken = 0L
         var lastAnswered = Duration.ZERO
         var target = 0
-        var silentUntil = Duration.ZERO
+        var formerLeaseExpiry = Duration.ZERO
         var gone = false
         val tasks = LinkedHashMap<String, Task>()
     }
@@ -114,7 +114,7 @@
     fun silence(
         machineNames: Collection<MachineName>,
         time: Duration,
-    ) = look { machineNames.forEach { workers[it]?.silentUntil = now() + time } }
+    ) = look { machineNames.forEach { workers[it]?.formerLeaseExpiry = now() + time } }
 
     fun boot(
         name: MachineName,
@@ -127,7 +127,7 @@
             workers[name] = worker
             launch { run(worker) }
             while (!worker.gone) {
-                if (now() >= worker.silentUntil) heartbeat(worker)
+                if (now() >= worker.formerLeaseExpiry) heartbeat(worker)
                 delay(heartbeatInterval)
             }
         }
--- a/src/test/kotlin/umberslip/loopback/RestartMeasurement.kt
+++ b/src/test/kotlin/umberslip/loopback/RestartMeasurement.kt
@@ -46,7 +46,7 @@
         val names = scenario.workers.names().shuffled(Random(1))
         scenario.controllers.killAll()
         val running = scenario.workers.running()
-        val rentedBefore = scenario.cloud.rentals().size
+        val provisionedBefore = scenario.cloud.rentals().size
         scenario.cloud.takeBack(names.take(names.size * plan.takenPercent / 100))
         Thread.sleep(plan.darkSeconds * 1000L)
         val back = scenario.workers.now()
@@ -56,7 +56,7 @@
         println("${names.size} machines, $running tasks ran, dark ${plan.darkSeconds} s, ${plan.takenPercent} % taken")
         println("  options ${plan.options}; owner: ${leader?.raw()}")
         heartbeat(scenario.workers.events(), back)
-        println("  rented in 110 s: ${scenario.cloud.rentals().size - rentedBefore}")
+        println("  rented in 110 s: ${scenario.cloud.rentals().size - provisionedBefore}")
     }
 }
 
--- a/src/test/kotlin/umberslip/recovery/ReconciliationFindingTest.kt
+++ b/src/test/kotlin/umberslip/recovery/ReconciliationFindingTest.kt
@@ -15,7 +15,9 @@
 import kotlin.random.Random
 import kotlin.time.Duration.Companion.seconds
 
-/** After every controller fell: generated records and heartbeats disagree, and the leader does what each finding says. */
+/**
+ * After every controller fell: generated records and heartbeats disagree, and the leader does what each finding says.
+ */
 class ReconciliationFindingTest {
     private val seen = EnumSet.noneOf(ReconciliationFinding::class.java)
 
--- a/src/test/kotlin/umberslip/scheduling/DependencyGraphTest.kt
+++ b/src/test/kotlin/umberslip/scheduling/DependencyGraphTest.kt
@@ -70,7 +70,7 @@
                 specs.getValue(id).dependencies.any { it in cancelled || dependencyCancelled(it) }
             }
 
-        fun held(id: JobId): Boolean = specs.getValue(id).dependencies.any { it !in done }
+        fun isBlocked(id: JobId): Boolean = specs.getValue(id).dependencies.any { it !in done }
 
         fun open(id: JobId): Boolean = id !in done && id !in cancelled && !dependencyCancelled(id)
 
@@ -118,7 +118,7 @@
                 val takenOver = random.nextBoolean()
                 val toCome = ArrayDeque(if (takenOver) specs.shuffled(random) else specs)
                 while (toCome.isNotEmpty() || jobs.keys.any(model::open)) {
-                    val ready = jobs.keys.filter { model.open(it) && !model.held(it) }
+                    val ready = jobs.keys.filter { model.open(it) && !model.isBlocked(it) }
                     when {
                         toCome.isNotEmpty() && (takenOver || ready.isEmpty() || random.nextInt(3) > 0) -> {
                             val spec = toCome.removeFirst()
@@ -134,7 +134,7 @@
                                 )
                             jobs[spec.id] = job
                             model.changed()
-                            dependencyGraph.came(job)
+                            dependencyGraph.added(job)
                         }
                         random.nextInt(8) == 0 -> {
                             val id = jobs.keys.filter(model::open).random(random)
@@ -148,14 +148,14 @@
                             val id = ready.random(random)
                             model.done += id
                             model.changed()
-                            dependencyGraph.gone(jobs.remove(id) ?: error("not there"))
+                            dependencyGraph.removed(jobs.remove(id) ?: error("not there"))
                             dependencyGraph.ended(id, JobOutcome.DONE)
                         }
                     }
                     // The records of those that were called off go, too, sooner or later.
                     for (id in jobs.keys.filter { it in model.cancelled || model.dependencyCancelled(it) }) {
                         if (random.nextInt(4) == 0) {
-                            dependencyGraph.gone(jobs.remove(id) ?: error("not there"))
+                            dependencyGraph.removed(jobs.remove(id) ?: error("not there"))
                             model.changed()
                             if (random.nextBoolean()) dependencyGraph.ended(id, JobOutcome.CANCELLED)
                         }
@@ -168,7 +168,7 @@
                             dependencyGraph.ended(id, JobOutcome.CANCELLED)
                         }
                     }
-                    for ((job, rank) in dependencyGraph.inheritPriorities()) job.rank(rank.priority, rank.deadlines, Duration.ZERO)
+                    for ((job, rank) in dependencyGraph.inheritPriorities()) job.inherit(rank.priority, rank.deadlines, Duration.ZERO)
                     for ((id, job) in jobs) check(id, job, model, jobs, toCome.isEmpty() || !takenOver)
                 }
             }
@@ -182,12 +182,12 @@
         complete: Boolean,
     ) {
         if (id in model.cancelled) return
-        if (model.held(id)) assertEquals(0, job.waiting, "$id must wait")
+        if (model.isBlocked(id)) assertEquals(0, job.waiting, "$id must wait")
         if (!complete) return
         assertEquals(model.dependencyCancelled(id), job.dependencyCancelled, "$id called off")
         if (job.dependencyCancelled) return
-        assertEquals(model.held(id), job.held, "$id held")
-        assertEquals(model.priority(id, jobs.keys), job.priority, "$id urgency")
+        assertEquals(model.isBlocked(id), job.isBlocked, "$id blocked")
+        assertEquals(model.priority(id, jobs.keys), job.priority, "$id priority")
         val own = job.spec.deadlineSeconds?.seconds ?: 3600.seconds
         assertEquals(listOfNotNull(own, model.inherited(id, jobs.keys)).min(), job.due, "$id due")
         val lineage =
@@ -308,7 +308,7 @@
         t.dispatch("m")
         assertEquals(setOf(gone), t.scheduler.dependencyGraph.unread)
         assertTrue(t.machine("m").assignments.isEmpty())
-        t.scheduler.ended(gone, JobOutcome.DONE, t.now)
+        t.scheduler.dependencyEnded(gone, JobOutcome.DONE, t.now)
         t.dispatch("m")
         assertEquals(1, job.assigned.size)
         assertTrue(
--- a/src/test/kotlin/umberslip/scheduling/SchedulerStateTest.kt
+++ b/src/test/kotlin/umberslip/scheduling/SchedulerStateTest.kt
@@ -90,7 +90,7 @@
     fun `a silent machine's tasks wait until its leases are over or its release is answered`() {
         val job = t.job()
         startAll(job)
-        t.scheduler.answered(MachineName("m"), t.now)
+        t.scheduler.leaseRenewed(MachineName("m"), t.now)
         t.now += t.timings.lease
         t.tick()
         assertEquals(3, job.assigned.size)
@@ -108,7 +108,7 @@
         assertEquals(3, job.waiting)
 
         startAll(job, "n")
-        t.scheduler.released(listOf(MachineName("n")), t.now)
+        t.scheduler.terminated(listOf(MachineName("n")), t.now)
         assertEquals(3, job.waiting)
         assertEquals(HeartbeatDisposition.OUT_OF_DATE, t.heartbeat("n", sequenceNumber = 99), "a late report of a returned machine")
     }
@@ -299,8 +299,8 @@
 
     @Test
     fun `a batch takes all starts of the jobs that it has preconditions for, the highest priority first`() {
-        // Found on a drawn day with lowered limits: a few starts of ten jobs filled a batch's preconditions, and thousands
-        // waited.
+        // Found on a drawn day with lowered limits: a few starts of ten jobs filled a batch's preconditions, and
+        // thousands waited.
         val jobs =
             List(40) { n ->
                 t.job {
--- a/src/test/kotlin/umberslip/scheduling/TestScheduler.kt
+++ b/src/test/kotlin/umberslip/scheduling/TestScheduler.kt
@@ -96,7 +96,7 @@
         counters[name] = next
         return scheduler
             .heartbeat(Heartbeat(name, type, zone, spot, HeartbeatVersion(session, next), fencingToken, warning, tasks.toList()), now)
-            .also { if (it == HeartbeatDisposition.ACCEPTED || it == HeartbeatDisposition.TOKEN_BEHIND) scheduler.answered(name, now) }
+            .also { if (it == HeartbeatDisposition.ACCEPTED || it == HeartbeatDisposition.TOKEN_BEHIND) scheduler.leaseRenewed(name, now) }
     }
 
     fun dispatch(machineName: String) = scheduler.dispatch(machine(machineName), now) { false }
--- a/src/test/kotlin/umberslip/sim/ClusterSize.kt
+++ b/src/test/kotlin/umberslip/sim/ClusterSize.kt
@@ -3,7 +3,9 @@
 import umberslip.cloud.InstanceType
 import kotlin.time.Duration.Companion.seconds
 
-/** What goes wrong in a world: shares of calls and of heartbeats copied; times of larger troubles come from the seed. */
+/**
+ * What goes wrong in a world: shares of calls and of heartbeats copied; times of larger troubles come from the seed.
+ */
 class Mischief(
     val lossy: Double,
     val late: Double,
--- a/src/test/kotlin/umberslip/sim/SimulatedCluster.kt
+++ b/src/test/kotlin/umberslip/sim/SimulatedCluster.kt
@@ -167,7 +167,7 @@
                 Clock { now() * drift },
                 { Instant.ofEpochMilli(1_000_000 + scheduler.currentTime) },
                 SimpleMeterRegistry().also { registries[i] = it },
-                { members.indices.forEach { if (it != i && reaches(i, it)) controllers[it]?.news() } },
+                { members.indices.forEach { if (it != i && reaches(i, it)) controllers[it]?.refreshRecords() } },
                 { reaches(i, members.indexOf(it)) },
                 { peerHealth(i) },
                 { "" },
@@ -209,9 +209,9 @@
         return if (near.any { controllers[it]?.served() == true }) {
             PeerHealth.SERVED
         } else if (near.isEmpty()) {
-            PeerHealth.NONE
+            PeerHealth.UNREACHABLE
         } else {
-            PeerHealth.AWAY
+            PeerHealth.UNSERVED
         }
     }
 
