--- /dev/null
+++ b/src/main/kotlin/umberslip/cli/Check.kt
@@ -0,0 +1,24 @@
+package umberslip.cli
+
+import picocli.CommandLine.Command
+import picocli.CommandLine.Model.CommandSpec
+import picocli.CommandLine.Spec
+import java.util.concurrent.Callable
+
+/** Checks the settings files as `serve` would, and starts nothing. */
+@Command(name = "check", mixinStandardHelpOptions = true, description = ["Check the settings files and exit."])
+class Check :
+    SettingsOptions(),
+    Callable<Int> {
+    @Spec
+    lateinit var spec: CommandSpec
+
+    override fun call(): Int {
+        val (settings, _) = load()
+        spec.commandLine().out.run {
+            println("${settings.member}: settings are valid (${settings.teams.size} teams, ${settings.zones.size} zones)")
+            flush()
+        }
+        return 0
+    }
+}
--- a/src/main/kotlin/umberslip/cli/Recovery.kt
+++ b/src/main/kotlin/umberslip/cli/RecoveryCommand.kt
@@ -19,20 +19,20 @@
 @Command(
     name = "recovery",
     mixinStandardHelpOptions = true,
-    description = ["Show what became of the work that the present owner took over."],
+    description = ["Show what became of the work that the present leader took over."],
     exitCodeListHeading = "Exit codes:%n",
     exitCodeList = [
         "0:settled",
         "1:the settings cannot be read",
         "2:wrong usage",
         "3:recovering",
-        "4:nobody owns",
-        "5:the owner was not heard",
-        "6:neither the records nor an owner could be read",
+        "4:nobody leads",
+        "5:the leader was not heard from",
+        "6:neither the records nor a leader could be read",
     ],
 )
 class Recovery :
-    WithSettings(),
+    SettingsOptions(),
     Callable<Int> {
     @Option(
         names = ["--controller"],
--- a/src/main/kotlin/umberslip/daemon/Daemon.kt
+++ b/src/main/kotlin/umberslip/daemon/Daemon.kt
@@ -2,6 +2,7 @@
 
 import io.micrometer.prometheusmetrics.PrometheusConfig
 import io.micrometer.prometheusmetrics.PrometheusMeterRegistry
+import io.netty.channel.Channel
 import io.netty.channel.MultiThreadIoEventLoopGroup
 import io.netty.channel.nio.NioIoHandler
 import kotlinx.coroutines.CoroutineExceptionHandler
@@ -19,10 +20,15 @@
 import umberslip.settings.Tuning
 import umberslip.store.HttpKeyValueStore
 import umberslip.store.RateLimiter
+import java.io.IOException
+import java.net.InetSocketAddress
 import java.time.Instant
 import kotlin.time.TimeSource
 
-/** One controller as a process: everything runs on one thread, which the event loop leads. */
+/**
+ * One controller as a process: its sockets, its clocks and its metrics. Everything runs on one thread, that of the event
+ * loop; nothing may block there.
+ */
 class Daemon(
     private val settings: Settings,
     tuning: Tuning,
@@ -62,28 +68,51 @@
             metrics::scrape,
         )
 
+    /**
+     * Serves until the process ends; blocks the calling thread.
+     *
+     * @throws ListenException if an address of the settings cannot be listened on
+     */
     fun run() {
-        val server =
-            HttpServer(
-                group,
-                settings.sockets - settings.sockets / OWN_SHARE - OWN_SOCKETS,
-                controller::handle,
-            ).bind(settings.bind)
-        peers.bind(settings.peerListen)
+        val ownSockets = settings.sockets / OWN_SHARE + OWN_SOCKETS
+        val httpServer = HttpServer(group, settings.sockets - ownSockets, controller::handle)
+        val server = listen("bind", settings.bind, httpServer::bind)
+        listen("peer_listen", settings.peerListen, peers::bind)
         group.next().execute {
             peers.start()
             controller.start()
         }
-        log.info("controller {} in {} listens on {}", settings.member, settings.area, settings.bind)
+        log.info(
+            "controller started: member={} zone={} address={}",
+            settings.member,
+            settings.area,
+            settings.bind,
+        )
         server.closeFuture().sync()
     }
 
+    private fun listen(
+        setting: String,
+        address: InetSocketAddress,
+        bind: (InetSocketAddress) -> Channel,
+    ): Channel =
+        try {
+            bind(address)
+        } catch (e: IOException) {
+            throw ListenException(setting, address, e)
+        }
+
     private companion object {
+        /** The largest response that is read from the key-value store or the cloud, in bytes. */
         const val MAX_BODY = 8 * 1024 * 1024
 
-        /** Sockets kept for calls of its own: a slow key-value store holds many at once. */
+        /** Sockets reserved for calls of its own: a slow key-value store holds many open at once. */
         const val OWN_SOCKETS = 20
+
+        /** One in so many of all sockets is reserved besides. */
         const val OWN_SHARE = 10
+
+        /** The share of the cloud's rate limit that is used; the rest is left for drift between its clock and ours. */
         const val CLOUD_SHARE = 0.8
     }
 }
--- a/src/main/kotlin/umberslip/daemon/Readiness.kt
+++ b/src/main/kotlin/umberslip/daemon/Readiness.kt
@@ -5,27 +5,29 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * Whether users are well served here. A controller that the key-value store does not serve sends them
- * elsewhere while it may serve others; when it is away for all, nobody gains by being sent around,
- * and every controller goes on telling ends of jobs. Pure.
+ * Whether users are well served by this controller. One that the key-value store does not serve turns unready while the
+ * store may serve others. When the store is unavailable to all, nobody gains by being sent elsewhere, so every
+ * controller stays ready and goes on answering how jobs ended. Pure.
  */
 class Readiness(
-    private val alone: Boolean,
+    /** Whether there are no other controllers. */
+    private val isOnlyMember: Boolean,
 ) {
-    /** The records were read lately. */
+    /** Whether the records were read lately. */
     fun served(
         readAt: Duration?,
         now: Duration,
-    ): Boolean = readAt != null && now - readAt < LATELY
+    ): Boolean = readAt != null && now - readAt < MAX_READ_AGE
 
-    /** Cut off from all others too, it rather is the one in trouble. */
+    /** A controller that reaches no other one rather is cut off itself, so it is not ready. */
     fun ready(
         readAt: Duration?,
         now: Duration,
         peerHealth: PeerHealth,
-    ): Boolean = served(readAt, now) || (readAt != null && (alone || peerHealth == PeerHealth.UNSERVED))
+    ): Boolean = served(readAt, now) || (readAt != null && (isOnlyMember || peerHealth == PeerHealth.UNSERVED))
 
     private companion object {
-        val LATELY = 2500.milliseconds
+        /** Reads are at most some hundred milliseconds apart while they succeed. */
+        val MAX_READ_AGE = 2500.milliseconds
     }
 }
--- a/src/main/kotlin/umberslip/toolbox/Records.kt
+++ b/src/main/kotlin/umberslip/toolbox/RecordsCommand.kt
@@ -6,7 +6,7 @@
 import picocli.CommandLine.Parameters
 import picocli.CommandLine.Spec
 import umberslip.cli.KeyValueStoreReader
-import umberslip.cli.WithSettings
+import umberslip.cli.SettingsOptions
 import umberslip.http.NoResponseException
 import umberslip.http.ServiceUnavailableException
 import umberslip.records.RecordPages
@@ -21,14 +21,14 @@
 import java.time.Instant
 import java.util.concurrent.Callable
 
-/** Keeps what the key-value store says at one moment, and compares two such moments. Reads only from the service. */
+/** Archives the records of the key-value store at one moment, and compares two such archives. Writes nothing there. */
 @Command(
     name = "records",
     mixinStandardHelpOptions = true,
-    description = ["Save, show and compare the records in the state service."],
+    description = ["Save, show and compare the records in the key-value store."],
     subcommands = [SaveRecords::class, ShowRecords::class, CompareRecords::class],
 )
-class Records : Callable<Int> {
+class RecordsCommand : Callable<Int> {
     @Spec
     lateinit var spec: CommandSpec
 
@@ -40,7 +40,7 @@
 
 @Command(name = "save", mixinStandardHelpOptions = true, description = ["Write all records into an archive."])
 class SaveRecords :
-    WithSettings(),
+    SettingsOptions(),
     Callable<Int> {
     @Parameters(paramLabel = "FILE", description = ["the archive to write"])
     lateinit var file: Path
@@ -67,9 +67,9 @@
     }
 }
 
-@Command(name = "show", mixinStandardHelpOptions = true, description = ["Say what a new owner would take over."])
+@Command(name = "show", mixinStandardHelpOptions = true, description = ["Say what a new leader would take over."])
 class ShowRecords :
-    WithSettings(),
+    SettingsOptions(),
     Callable<Int> {
     @Parameters(paramLabel = "FILE", description = ["an archive"])
     lateinit var file: Path
@@ -96,7 +96,7 @@
     description = ["Say what became of the work between two archives."],
 )
 class CompareRecords :
-    WithSettings(),
+    SettingsOptions(),
     Callable<Int> {
     @Parameters(index = "0", paramLabel = "BEFORE", description = ["the earlier archive"])
     lateinit var before: Path
--- a/src/main/kotlin/umberslip/toolbox/Toolbox.kt
+++ b/src/main/kotlin/umberslip/toolbox/Toolbox.kt
@@ -14,7 +14,7 @@
     name = "umberslip-toolbox",
     mixinStandardHelpOptions = true,
     description = ["Operators' tools round umberslip."],
-    subcommands = [Records::class],
+    subcommands = [RecordsCommand::class],
 )
 class Toolbox : Callable<Int> {
     override fun call(): Int {
@@ -23,7 +23,7 @@
     }
 
     companion object {
-        /** What the operator can mend is told in one line and ends with code 1; anything else is a defect. */
+        /** What the operator can mend is said in one line and ends with code 1; anything else is a defect. */
         fun commandLine(): CommandLine =
             CommandLine(Toolbox()).setExecutionExceptionHandler { e, line, _ ->
                 if (e !is InvalidSettingsException && e !is ArchiveException && e !is IOException) throw e
--- a/src/test/kotlin/umberslip/daemon/ReadinessTest.kt
+++ b/src/test/kotlin/umberslip/daemon/ReadinessTest.kt
@@ -7,7 +7,7 @@
 import kotlin.time.Duration.Companion.seconds
 
 class ReadinessTest {
-    private val readiness = Readiness(alone = false)
+    private val readiness = Readiness(isOnlyMember = false)
 
     @Test
     fun `a controller is ready while it is served, or while nobody is`() {
@@ -16,6 +16,6 @@
         assertTrue(readiness.ready(1.seconds, 10.seconds, PeerHealth.UNSERVED), "all would turn unready, and nobody gain")
         assertFalse(readiness.ready(1.seconds, 10.seconds, PeerHealth.SERVED))
         assertFalse(readiness.ready(1.seconds, 10.seconds, PeerHealth.UNREACHABLE))
-        assertTrue(Readiness(alone = true).ready(1.seconds, 10.seconds, PeerHealth.UNREACHABLE))
+        assertTrue(Readiness(isOnlyMember = true).ready(1.seconds, 10.seconds, PeerHealth.UNREACHABLE))
     }
 }
--- a/src/test/kotlin/umberslip/loopback/RestartScenario.kt
+++ b/src/test/kotlin/umberslip/loopback/RestartScenario.kt
@@ -128,7 +128,7 @@
         val out = StringWriter()
         val addresses = controllers.addresses.flatMap { listOf("--controller", text(it)) }
         val arguments = listOf("recovery", "--json", "--config", controllers.settingsFile(0).toString()) + addresses
-        val exitCode = CommandLine(Umberslip()).setOut(PrintWriter(out)).execute(*arguments.toTypedArray())
+        val exitCode = Umberslip.commandLine().setOut(PrintWriter(out)).execute(*arguments.toTypedArray())
         return RecoveryAnswer(exitCode, Fields.of(Documents.readJson(out.toString())))
     }
 
--- a/src/test/kotlin/umberslip/sim/SimulatedCluster.kt
+++ b/src/test/kotlin/umberslip/sim/SimulatedCluster.kt
@@ -23,6 +23,7 @@
 import umberslip.core.MachineName
 import umberslip.core.TaskId
 import umberslip.daemon.Controller
+import umberslip.daemon.Routes
 import umberslip.http.Documents
 import umberslip.http.Fields
 import umberslip.http.MalformedMessageException
@@ -562,7 +563,7 @@
             )
         val to = m.target
         val answer = withTimeoutOrNull(4000) { deliver(to, m, body) }
-        if ((answer?.body as? Map<*, *>)?.get("error") == Controller.TOO_BUSY) heartbeatsDropped++
+        if ((answer?.body as? Map<*, *>)?.get("error") == Routes.TOO_BUSY) heartbeatsDropped++
         if (m.gone) return 0
         if (answer == null || answer.status != 200) {
             val named = (answer?.body as? Map<*, *>)?.get("dispatcher") as? String
