--- a/src/test/kotlin/umberslip/api/JobApiTest.kt
+++ b/src/test/kotlin/umberslip/api/JobApiTest.kt
@@ -9,8 +9,8 @@
 import umberslip.http.Response
 import umberslip.records.toMap
 import umberslip.sim.ClusterSize
+import umberslip.sim.FaultRates
 import umberslip.sim.Fixtures
-import umberslip.sim.Mischief
 import umberslip.sim.SimulatedCluster
 import kotlin.random.Random
 import kotlin.time.Duration.Companion.milliseconds
@@ -19,7 +19,7 @@
 /** What users get for odd requests, from the actual controllers. */
 class JobApiTest {
     private val cluster =
-        SimulatedCluster(1, Mischief(0.0, 0.0), ClusterSize(3), Fixtures::settingsJson).also { cluster ->
+        SimulatedCluster(1, FaultRates(0.0, 0.0), ClusterSize(3), Fixtures::settingsJson).also { cluster ->
             for (i in 0..2) cluster.startController(i)
             cluster.run(8.seconds)
         }
--- a/src/test/kotlin/umberslip/recovery/GeneratedRestartsTest.kt
+++ b/src/test/kotlin/umberslip/recovery/GeneratedRestartsTest.kt
@@ -7,8 +7,8 @@
 import umberslip.settings.RecoveryTuning
 import umberslip.settings.Tuning
 import umberslip.sim.ClusterSize
+import umberslip.sim.FaultRates
 import umberslip.sim.Fixtures
-import umberslip.sim.Mischief
 import umberslip.sim.SimulatedCluster
 import kotlin.random.Random
 import kotlin.time.Duration
@@ -27,7 +27,7 @@
         val cluster =
             SimulatedCluster(
                 seed,
-                Mischief(lossy = 0.005, late = 0.005, copied = 0.05),
+                FaultRates(lossy = 0.005, late = 0.005, copied = 0.05),
                 ClusterSize(5),
                 Fixtures::settingsJson,
                 { Tuning(recovery = RecoveryTuning(track = true, returnMissing = true)) },
@@ -38,7 +38,7 @@
             repeat(seconds) {
                 if (random.nextInt(3) == 0) {
                     val job = Fixtures.job(random, number++)
-                    cluster.user(job.copy(expectedSeconds = job.expectedSeconds * 5, tasks = minOf(job.tasks, 8)), null)
+                    cluster.submit(job.copy(expectedSeconds = job.expectedSeconds * 5, tasks = minOf(job.tasks, 8)), null)
                 }
                 cluster.run(1.seconds)
             }
@@ -80,10 +80,10 @@
             when (random.nextInt(6)) {
                 0 -> machines.take(machines.size * 2 / 3).forEach(cluster::kill)
                 1 -> machines.take(machines.size / 3).forEach { cluster.hang(it, random.nextInt(3, 30).seconds) }
-                2 -> machines.take(machines.size / 2).forEach { cluster.mute(it, random.nextInt(5, 40).seconds) }
-                3 -> machines.take(3).forEach { cluster.reboot(it, blank = random.nextBoolean()) }
+                2 -> machines.take(machines.size / 2).forEach { cluster.loseHeartbeats(it, random.nextInt(5, 40).seconds) }
+                3 -> machines.take(3).forEach { cluster.reboot(it, forgetsEpoch = random.nextBoolean()) }
                 4 -> cluster.cutZones(random.nextInt(5, 45).seconds)
-                else -> machines.take(3).forEach { cluster.deafen(it, random.nextInt(5, 30).seconds) }
+                else -> machines.take(3).forEach { cluster.loseResponses(it, random.nextInt(5, 30).seconds) }
             }
         }
 
@@ -112,7 +112,7 @@
             falls.fall()
             falls.pause(falls.random.nextInt(5, 30))
         }
-        cluster.calm()
+        cluster.endFaults()
         val deadline = cluster.now() + 3000.seconds
         while (cluster.finishedJobs + cluster.cancelledJobs < cluster.acceptedJobs && cluster.now() < deadline) {
             cluster.run(5.seconds)
@@ -124,8 +124,8 @@
                 ?.gauge()
                 ?.value() ?: Double.NaN
         cluster.end()
-        assertEquals(emptyList<String>(), cluster.broken.take(5))
-        assertEquals(cluster.acceptedJobs, cluster.finishedJobs + cluster.cancelledJobs, "jobs that ended; ${cluster.open()}")
+        assertEquals(emptyList<String>(), cluster.violations.take(5))
+        assertEquals(cluster.acceptedJobs, cluster.finishedJobs + cluster.cancelledJobs, "jobs that ended; ${cluster.describe()}")
         assertTrue(cluster.starts > 20, "only ${cluster.starts} tasks started")
         assertTrue(recovery.isFinite(), "the last recovery settled")
     }
--- a/src/test/kotlin/umberslip/recovery/LossWithoutLeaderTest.kt
+++ b/src/test/kotlin/umberslip/recovery/LossWithoutLeaderTest.kt
@@ -7,8 +7,8 @@
 import umberslip.settings.RecoveryTuning
 import umberslip.settings.Tuning
 import umberslip.sim.ClusterSize
+import umberslip.sim.FaultRates
 import umberslip.sim.Fixtures
-import umberslip.sim.Mischief
 import umberslip.sim.SimulatedCluster
 import kotlin.random.Random
 import kotlin.time.Duration
@@ -42,10 +42,10 @@
         returnMissing: Boolean,
     ): Outcome {
         val tuning = Tuning(recovery = RecoveryTuning(track = true, returnMissing = returnMissing))
-        val cluster = SimulatedCluster(seed, Mischief(0.0, 0.0), ClusterSize(20), Fixtures::settingsJson, { tuning })
+        val cluster = SimulatedCluster(seed, FaultRates(0.0, 0.0), ClusterSize(20), Fixtures::settingsJson, { tuning })
         for (i in 0..2) cluster.startController(i)
         val random = Random(seed)
-        repeat(12) { cluster.user(longJob(random, it), null) }
+        repeat(12) { cluster.submit(longJob(random, it), null) }
         cluster.run(45.seconds)
         (0..2).forEach(cluster::stopController)
         val machines = cluster.upMachines().shuffled(random)
@@ -65,7 +65,7 @@
             )
         cluster.run(60.seconds)
         cluster.end()
-        assertEquals(emptyList<String>(), cluster.broken.take(5))
+        assertEquals(emptyList<String>(), cluster.violations.take(5))
         return outcome
     }
 
--- a/src/test/kotlin/umberslip/sim/ClusterSize.kt
+++ b/src/test/kotlin/umberslip/sim/ClusterSize.kt
@@ -4,16 +4,7 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * What goes wrong in a world: shares of calls and of heartbeats copied; times of larger troubles come from the seed.
- */
-class Mischief(
-    val lossy: Double,
-    val late: Double,
-    val copied: Double = 0.0,
-)
-
-/**
- * How large a world is. The small one has short pages and a short memory of changes, so that reading on
+ * How large a simulated cluster is. The small one has short pages and a short memory of changes, so that reading on
  * and reading everything again are exercised too.
  */
 class ClusterSize(
--- a/src/test/kotlin/umberslip/sim/ClusterSizeTest.kt
+++ b/src/test/kotlin/umberslip/sim/ClusterSizeTest.kt
@@ -32,7 +32,7 @@
         val cluster =
             SimulatedCluster(
                 9,
-                Mischief(0.0, 0.0),
+                FaultRates(0.0, 0.0),
                 size,
                 { Fixtures.largeFleetJson(it).replace(""""sockets":200""", """"sockets":5000""") },
                 { RECOVERY },
@@ -41,12 +41,12 @@
         val random = Random(9)
         repeat(130) { number ->
             val spec = Fixtures.fleetJob(random, number, listOf("sole"))
-            cluster.user(spec.copy(tasks = 50, cpus = 4.0, memoryGb = 4.0, expectedSeconds = 900.0), null)
+            cluster.submit(spec.copy(tasks = 50, cpus = 4.0, memoryGb = 4.0, expectedSeconds = 900.0), null)
         }
         while (cluster.upMachines().size < 4000 && cluster.now() < 300.seconds) cluster.run(1.seconds)
         assertEquals(4000, cluster.upMachines().size)
         cluster.run(5.seconds)
-        val sessions = cluster.upMachines().associateWith { it.session }
+        val epochs = cluster.upMachines().associateWith { it.epoch }
         cluster.leader()?.let { leader ->
             cluster.stopController(leader)
             cluster.run(4.seconds)
@@ -57,8 +57,8 @@
         cluster.run(20.seconds)
         cluster.end()
         assertEquals(0, cluster.heartbeatsDropped)
-        assertEquals(emptyList<String>(), cluster.broken.take(5))
-        assertEquals(0, sessions.count { (machine, session) -> machine.session != session }, "leases that were lost")
+        assertEquals(emptyList<String>(), cluster.violations.take(5))
+        assertEquals(0, epochs.count { (machine, epoch) -> machine.epoch != epoch }, "leases that were lost")
     }
 
     private fun instanceTypes(
@@ -76,14 +76,14 @@
         job: (Random, Int) -> JobSpec,
     ) {
         val random = Random(seed)
-        val cluster = SimulatedCluster(seed, Mischief(lossy = 0.002, late = 0.002, copied = 0.02), size, settings, { RECOVERY })
+        val cluster = SimulatedCluster(seed, FaultRates(lossy = 0.002, late = 0.002, copied = 0.02), size, settings, { RECOVERY })
         repeat(size.members) { cluster.startController(it) }
         var number = 0
         var owed = 60.0
         for (second in 0 until 100) {
             owed += arrivals
             while (owed >= 1) {
-                cluster.user(job(random, number++), if (random.nextInt(20) == 0) random.nextInt(1, 40).seconds else null)
+                cluster.submit(job(random, number++), if (random.nextInt(20) == 0) random.nextInt(1, 40).seconds else null)
                 owed--
             }
             trouble(cluster, random, second, size)
@@ -94,7 +94,7 @@
             cluster.run(10.seconds)
         }
         cluster.end()
-        assertEquals(emptyList<String>(), cluster.broken.take(5))
+        assertEquals(emptyList<String>(), cluster.violations.take(5))
         assertEquals(cluster.acceptedJobs, cluster.finishedJobs + cluster.cancelledJobs, "jobs that ended")
         assertTrue(cluster.starts > 10_000, "only ${cluster.starts} tasks started")
     }
--- a/src/test/kotlin/umberslip/sim/CombinedFailuresTest.kt
+++ b/src/test/kotlin/umberslip/sim/CombinedFailuresTest.kt
@@ -19,7 +19,7 @@
 class CombinedFailuresTest {
     /** What happens from the fortieth second on; [jobs] changes the sample jobs to fit. */
     enum class CombinedFailure(
-        val mischief: Mischief = Mischief(lossy = 0.005, late = 0.005),
+        val faultRates: FaultRates = FaultRates(lossy = 0.005, late = 0.005),
         val length: Double = 4.0,
         val chained: Boolean = false,
         val json: (String) -> String = Fixtures::settingsJson,
@@ -48,7 +48,7 @@
 
         /** The leader renews and does not hear of cancellations, since its reads fail; then all are out. */
         READS_REFUSED(length = 8.0, bring = {
-            cluster.leader()?.let { cluster.cutReads(it, 70.seconds) }
+            cluster.leader()?.let { cluster.cutFromStoreReads(it, 70.seconds) }
             pause(1)
             cancelSome(8)
             pause(25)
@@ -78,11 +78,11 @@
             pause(40)
         }),
 
-        LATE_REPORTS(Mischief(lossy = 0.005, late = 0.08, copied = 0.3), bring = {
+        LATE_REPORTS(FaultRates(lossy = 0.005, late = 0.08, copied = 0.3), bring = {
             repeat(4) {
                 restartLeader()
                 pause(12)
-                cluster.upMachines().randomOrNull(random)?.let { cluster.reboot(it, blank = false) }
+                cluster.upMachines().randomOrNull(random)?.let { cluster.reboot(it, forgetsEpoch = false) }
             }
         }),
 
@@ -152,7 +152,7 @@
                 .upMachines()
                 .shuffled(random)
                 .take(3)
-                .forEach { cluster.deafen(it, 40.seconds) }
+                .forEach { cluster.loseResponses(it, 40.seconds) }
             restartLeader()
             pause(4)
             cancelSome(4)
@@ -163,7 +163,7 @@
         LIMIT_AND_SILENCE(length = 8.0, jobs = { job, _ -> job.copy(team = "blue") }, bring = {
             repeat(2) {
                 val silent = cluster.upMachines().shuffled(random)
-                silent.take(2).forEach { cluster.mute(it, 30.seconds) }
+                silent.take(2).forEach { cluster.loseHeartbeats(it, 30.seconds) }
                 silent.drop(2).take(1).forEach { cluster.hang(it, 9.seconds) }
                 cancelSome(5)
                 restartLeader()
@@ -184,7 +184,7 @@
                 .upMachines()
                 .shuffled(random)
                 .let { it.take((it.size + 1) / 2) }
-                .forEach { cluster.mute(it, 25.seconds) }
+                .forEach { cluster.loseHeartbeats(it, 25.seconds) }
             pause(3)
             cancelSome(5)
             pause(40)
@@ -193,7 +193,7 @@
         /** Renewals come through slowly and others are served; the outage for all comes in between. */
         REFUSED_AND_RETURNED(length = 6.0, bring = {
             repeat(4) {
-                cluster.leader()?.let { cluster.cutState(it, random.nextInt(1, 12).seconds) }
+                cluster.leader()?.let { cluster.cutFromStore(it, random.nextInt(1, 12).seconds) }
                 pause(1)
                 cancelSome(2)
                 cluster.run(random.nextInt(100, 3000).milliseconds)
@@ -227,7 +227,7 @@
 
         PIPELINES_GAP(length = 3.0, chained = true, bring = {
             repeat(2) {
-                cluster.leader()?.let { cluster.cutState(it, 14.seconds) }
+                cluster.leader()?.let { cluster.cutFromStore(it, 14.seconds) }
                 cancelOpen(6)
                 cluster.run(1900.milliseconds)
                 cluster.store.out = true
@@ -292,7 +292,7 @@
         }),
 
         /** One after the other goes on, with what it had read and decided before, beside late writes and heartbeats. */
-        ALL_FROZEN(Mischief(lossy = 0.005, late = 0.03, copied = 0.1), length = 4.0, bring = {
+        ALL_FROZEN(FaultRates(lossy = 0.005, late = 0.03, copied = 0.1), length = 4.0, bring = {
             cluster.lateWrites = 0.1
             repeat(3) {
                 (0..2).shuffled(random).forEach { i ->
@@ -436,7 +436,7 @@
             cancelWithin: IntRange,
             also: () -> Unit = {},
         ) {
-            cluster.leader()?.let { cluster.cutState(it, 14.seconds) }
+            cluster.leader()?.let { cluster.cutFromStore(it, 14.seconds) }
             val before = cluster.cancelledJobs
             val until = cluster.now() + 1900.milliseconds
             for (id in cluster.runningJobs().shuffled(random).take(8)) {
@@ -460,7 +460,7 @@
         seed: Int,
     ) {
         val random = Random(seed * 100 + meeting.ordinal)
-        val cluster = SimulatedCluster(seed, meeting.mischief, ClusterSize(5), meeting.json, { recovery(it, seed) })
+        val cluster = SimulatedCluster(seed, meeting.faultRates, ClusterSize(5), meeting.json, { recovery(it, seed) })
         for (i in 0..2) cluster.startController(i)
         var number = 0
         val made = ArrayList<JobSpec>()
@@ -489,7 +489,7 @@
                             random,
                         )
                     made += spec
-                    cluster.user(spec, null)
+                    cluster.submit(spec, null)
                 }
             }
         }
@@ -497,15 +497,15 @@
         scenario.pause(40)
         scenario.(meeting.bring)()
         scenario.pause(5)
-        cluster.calm()
+        cluster.endFaults()
         var waited = Duration.ZERO
         while (cluster.finishedJobs + cluster.cancelledJobs < cluster.acceptedJobs && waited < 3000.seconds) {
             cluster.run(5.seconds)
             waited += 5.seconds
         }
         cluster.end()
-        assertEquals(emptyList<String>(), cluster.broken.take(5))
-        assertEquals(cluster.acceptedJobs, cluster.finishedJobs + cluster.cancelledJobs, "jobs that ended; ${cluster.open()}")
+        assertEquals(emptyList<String>(), cluster.violations.take(5))
+        assertEquals(cluster.acceptedJobs, cluster.finishedJobs + cluster.cancelledJobs, "jobs that ended; ${cluster.describe()}")
         assertTrue(cluster.starts > 20, "only ${cluster.starts} tasks started")
         if (meeting.name.startsWith("GAP")) assertTrue(scenario.confirmed > 0, "nothing was cancelled in the gap")
     }
--- a/src/test/kotlin/umberslip/sim/RulesTest.kt
+++ b/src/test/kotlin/umberslip/sim/RulesTest.kt
@@ -52,7 +52,7 @@
         val cluster =
             SimulatedCluster(
                 seed,
-                Mischief(lossy = 0.01, late = 0.01, copied = copied),
+                FaultRates(lossy = 0.01, late = 0.01, copied = copied),
                 ClusterSize(machines),
                 Fixtures::settingsJson,
             )
@@ -61,7 +61,7 @@
         var next = Duration.ZERO
         while (cluster.now() < 150.seconds) {
             if (cluster.now() >= next) {
-                cluster.user(
+                cluster.submit(
                     Fixtures.job(random, number++).let {
                         it.copy(expectedSeconds = it.expectedSeconds * length, tasks = minOf(it.tasks, 30))
                     },
@@ -79,9 +79,9 @@
             cluster.run(20.seconds)
         }
         cluster.end()
-        assertEquals(emptyList<String>(), cluster.broken.take(5))
+        assertEquals(emptyList<String>(), cluster.violations.take(5))
         assertTrue(cluster.starts > 20, "only ${cluster.starts} tasks started")
-        assertEquals(cluster.acceptedJobs, cluster.finishedJobs + cluster.cancelledJobs, "jobs that ended; ${cluster.open()}")
+        assertEquals(cluster.acceptedJobs, cluster.finishedJobs + cluster.cancelledJobs, "jobs that ended; ${cluster.describe()}")
     }
 
     private fun cuts(
@@ -102,7 +102,7 @@
         random: Random,
     ) {
         if (random.nextInt(12) == 0) {
-            cluster.upMachines().randomOrNull(random)?.let { cluster.deafen(it, random.nextInt(5, 90).seconds) }
+            cluster.upMachines().randomOrNull(random)?.let { cluster.loseResponses(it, random.nextInt(5, 90).seconds) }
         }
     }
 
@@ -147,7 +147,7 @@
             3, 4 -> cluster.upMachines().randomOrNull(random)?.let(cluster::kill)
             5, 6 -> cluster.upMachines().randomOrNull(random)?.let { cluster.hang(it, time) }
             7, 8, 9 -> cluster.cut(controller, zone, time)
-            10, 11 -> cluster.cutState(controller, time)
+            10, 11 -> cluster.cutFromStore(controller, time)
             12 -> cluster.store.out = true
             17, 18 -> cluster.cutZones(random.nextInt(5, 60).seconds)
             13, 14, 15, 16 -> cluster.store.out = false
--- a/src/test/kotlin/umberslip/sim/SimulatedMachine.kt
+++ b/src/test/kotlin/umberslip/sim/SimulatedMachine.kt
@@ -5,40 +5,63 @@
 import umberslip.core.TaskId
 import kotlin.time.Duration
 
+/** The states of a task that a simulated worker reports, as the protocol names them. */
+enum class SimulatedTaskState(
+    val wireName: String,
+) {
+    FETCHING("fetching"),
+    RUNNING("running"),
+    EXITED("ended"),
+}
+
 /** A task on a machine, as the machine sees it. */
-class OnMachine(
-    val task: TaskId,
+class SimulatedTask(
+    val id: TaskId,
     val attempt: Long,
     val spec: JobSpec,
+    /** When its image is there. */
+    val imageReadyAt: Duration,
+    /** When it completes, unless it is stopped. */
+    val completesAt: Duration,
 ) {
-    var status = "fetching"
+    var state = SimulatedTaskState.FETCHING
+
+    /** Why it exited, as the protocol names it. */
     var cause: String? = null
-    var ready = Duration.INFINITE
-    var ends = Duration.INFINITE
+
+    val isRunning: Boolean get() = state == SimulatedTaskState.RUNNING
+    val hasExited: Boolean get() = state == SimulatedTaskState.EXITED
 }
 
+/** A machine with its worker. */
 class SimulatedMachine(
     val name: String,
     val offer: Offer,
-    val bornAt: Duration,
+    val provisionedAt: Duration,
+    /** When it has booted and its worker begins to send heartbeats. */
     val upAt: Duration,
+    /** It fails every task. */
+    val isFaulty: Boolean,
 ) {
-    var session = 1L
+    var epoch = 1L
     var sequenceNumber = 0L
     var fencingToken = 0L
-    var lastAnswered = Duration.ZERO
+
+    /** When the last heartbeat that was answered was sent. */
+    var leaseRenewedAt = upAt
+
+    /** The member that it sends its heartbeats to. */
     var target = 0
-    var gone = false
+    var isTerminated = false
 
     /** The cloud's list shows it until then, as of the time that the list describes. */
-    var goneAt = Duration.INFINITE
+    var terminatedAt = Duration.INFINITE
     var hungUntil = Duration.ZERO
 
-    /** Its heartbeats arrive until then, but nothing reaches it. */
-    var deafUntil = Duration.ZERO
+    /** Its heartbeats arrive until then, but no response and no command reaches it. */
+    var responsesLostUntil = Duration.ZERO
 
     /** It reaches no controller until then. */
-    var muteUntil = Duration.ZERO
-    var sick = false
-    val tasks = LinkedHashMap<TaskId, OnMachine>()
+    var heartbeatsLostUntil = Duration.ZERO
+    val tasks = LinkedHashMap<TaskId, SimulatedTask>()
 }
