--- a/src/main/kotlin/umberslip/api/JobApi.kt
+++ b/src/main/kotlin/umberslip/api/JobApi.kt
@@ -224,7 +224,7 @@
         return when (creation.answer.await()) {
             SubmissionResult.CREATED -> {
                 accepted.increment()
-                val status = if (dependencyCancelled) JobOutcome.CANCELLED.word else "queued"
+                val status = if (dependencyCancelled) "aborted" else "queued"
                 Response(201, mapOf("uid" to spec.id.value, "status" to status))
             }
             SubmissionResult.KNOWN -> status(spec.id)
@@ -426,7 +426,7 @@
             status,
             mapOf(
                 "uid" to id.value,
-                "status" to end.end.word,
+                "status" to (if (end.end == JobOutcome.DONE) "done" else "aborted"),
                 "done" to if (end.end == JobOutcome.DONE) end.tasks else 0,
                 "running" to 0,
             ),
--- a/src/main/kotlin/umberslip/http/Documents.kt
+++ b/src/main/kotlin/umberslip/http/Documents.kt
@@ -9,11 +9,6 @@
 import java.io.IOException
 import java.math.BigInteger
 
-/** A document, or a field of one, is not what the protocol says it is. */
-class MalformedMessageException(
-    message: String,
-) : Exception(message)
-
 /** Bodies are CBOR and settings JSON; both are read to, and written from, plain maps and lists. */
 object Documents {
     private val cbor = CBORFactory()
--- a/src/main/kotlin/umberslip/http/HttpClient.kt
+++ b/src/main/kotlin/umberslip/http/HttpClient.kt
@@ -25,21 +25,6 @@
 import kotlin.time.Duration
 import kotlin.time.TimeSource
 
-/** The request was certainly not carried out: refused, or never sent. */
-open class ServiceUnavailableException(
-    message: String,
-) : Exception(message)
-
-/** Refused for coming too fast. */
-class RateLimitedException(
-    message: String,
-) : ServiceUnavailableException(message)
-
-/** No answer came: the request may have been carried out, or may yet be. */
-class NoResponseException(
-    message: String,
-) : Exception(message)
-
 class Reply(
     val status: Int,
     val body: Any?,
--- a/src/main/kotlin/umberslip/leadership/LeaderElection.kt
+++ b/src/main/kotlin/umberslip/leadership/LeaderElection.kt
@@ -14,6 +14,7 @@
 import umberslip.records.LeaderRecord
 import umberslip.records.RecordView
 import umberslip.records.RecordWatcher
+import umberslip.records.TermRecord
 import umberslip.settings.Timings
 import umberslip.store.KeyValueStore
 import umberslip.store.Precondition
@@ -208,7 +209,7 @@
                 listOf(Precondition(Keys.LEADER, Version.NONE), Precondition(Keys.TERM, known?.version ?: Version.NONE)),
                 listOf(
                     Write.Put(Keys.LEADER, LeaderRecord(member, term, lease).toMap(), lease),
-                    Write.Put(Keys.TERM, mapOf("term" to term.value)),
+                    Write.Put(Keys.TERM, TermRecord(term).toMap()),
                 ),
             )
         if (result !is TransactionResult.Applied) {
--- a/src/main/kotlin/umberslip/records/DependencyState.kt
+++ b/src/main/kotlin/umberslip/records/DependencyState.kt
@@ -3,39 +3,41 @@
 import umberslip.core.JobId
 
 /**
- * Whether a job is cancelled because one that it needs, directly or through others, is cancelled. That needs no
- * record of its own: it follows from the one end that was written, so every controller answers the same from the
- * moment that the cancellation was acknowledged. Pure.
+ * Whether a job is cancelled because one of its dependencies, direct or transitive, is cancelled. That needs no record
+ * of its own: it follows from the dependency's outcome, so every controller answers the same from the moment that the
+ * cancellation was acknowledged. Pure.
  */
 sealed interface DependencyState {
+    /** A dependency is cancelled, and so is the job. */
     data object Cancelled : DependencyState
 
+    /** No dependency is cancelled; some may be unfinished. */
     data object Open : DependencyState
 
-    /** Not known before the ends of these have been read. */
+    /** Unknown before the outcomes of these jobs have been read. */
     data class Unread(
         val ids: Set<JobId>,
     ) : DependencyState
 
     companion object {
-        /** [record] finds unfinished jobs, [end] how others ended, where that is known. */
+        /** [record] finds unfinished jobs; [outcome] says how others finished, null where that was not read yet. */
         fun of(
             job: JobRecord,
             record: (JobId) -> JobRecord?,
-            end: (JobId) -> JobOutcome?,
+            outcome: (JobId) -> JobOutcome?,
         ): DependencyState {
-            val seen = HashSet<JobId>()
+            val visited = HashSet<JobId>()
             val unread = LinkedHashSet<JobId>()
-            val open = ArrayDeque(job.spec.dependencies)
-            while (open.isNotEmpty()) {
-                val id = open.removeLast()
-                if (!seen.add(id)) continue
-                val needed = record(id)
-                if (needed != null) {
-                    if (needed.cancelled) return Cancelled
-                    open += needed.spec.dependencies
+            val toVisit = ArrayDeque(job.spec.dependencies)
+            while (toVisit.isNotEmpty()) {
+                val id = toVisit.removeLast()
+                if (!visited.add(id)) continue
+                val dependency = record(id)
+                if (dependency != null) {
+                    if (dependency.cancelled) return Cancelled
+                    toVisit += dependency.spec.dependencies
                 } else {
-                    when (end(id)) {
+                    when (outcome(id)) {
                         JobOutcome.CANCELLED -> return Cancelled
                         JobOutcome.DONE -> Unit
                         null -> unread += id
--- /dev/null
+++ b/src/main/kotlin/umberslip/records/OutcomeRecord.kt
@@ -0,0 +1,33 @@
+package umberslip.records
+
+import umberslip.http.Fields
+import umberslip.http.MalformedMessageException
+
+/** How a job finished. */
+enum class JobOutcome {
+    DONE,
+    CANCELLED,
+}
+
+/** How a job with that many [tasks] finished; never changed once written. */
+data class OutcomeRecord(
+    val end: JobOutcome,
+    val tasks: Int,
+) {
+    fun toMap(): Map<String, Any?> = mapOf(OUTCOME to OUTCOME_NAMES.getValue(end), TASKS to tasks)
+
+    companion object {
+        private const val OUTCOME = "status"
+        private const val TASKS = "pieces"
+        private val OUTCOMES = mapOf("done" to JobOutcome.DONE, "aborted" to JobOutcome.CANCELLED)
+        private val OUTCOME_NAMES = OUTCOMES.entries.associate { (name, outcome) -> outcome to name }
+
+        /** @throws MalformedMessageException naming the field that is missing or invalid */
+        fun parse(data: Any?): OutcomeRecord {
+            val fields = Fields.of(data)
+            val name = fields.text(OUTCOME)
+            val outcome = OUTCOMES[name] ?: throw MalformedMessageException("$OUTCOME has the unknown value $name")
+            return OutcomeRecord(outcome, fields.long(TASKS).toInt())
+        }
+    }
+}
--- a/src/main/kotlin/umberslip/records/RecordPages.kt
+++ b/src/main/kotlin/umberslip/records/RecordPages.kt
@@ -4,14 +4,15 @@
 import umberslip.store.KeyValueStore
 
 /**
- * All records, page by page. They were not read at one moment: changes after [revision], that of the first page, may be
- * in them or not, and applying those again does no harm.
+ * All records, read page by page. The pages are not from the same moment: changes after [revision], which is that of
+ * the first page, may be included or not. Applying those changes again does no harm.
  */
 class RecordPages(
     val entries: List<Entry>,
     val revision: Long,
 ) {
     companion object {
+        /** @throws umberslip.http.ServiceException where a page could not be read */
         suspend fun read(store: KeyValueStore): RecordPages {
             val first = store.list(Keys.ROOT, null)
             val entries = ArrayList(first.entries)
--- a/src/main/kotlin/umberslip/records/RecordReplica.kt
+++ b/src/main/kotlin/umberslip/records/RecordReplica.kt
@@ -2,78 +2,29 @@
 
 import org.slf4j.LoggerFactory
 import umberslip.core.JobId
-import umberslip.core.MachineName
 import umberslip.core.Term
-import umberslip.http.Fields
 import umberslip.http.MalformedMessageException
 import umberslip.store.Change
 import umberslip.store.Entry
 import umberslip.store.Version
 import java.util.BitSet
 
-/** What a change of the records means to those who act on them. */
-sealed interface RecordEvent {
-    data class JobChanged(
-        val id: JobId,
-        val job: Versioned<JobRecord>,
-    ) : RecordEvent
-
-    /** The job's record is gone: it ended, and how is told by its end's record. */
-    data class JobRemoved(
-        val id: JobId,
-    ) : RecordEvent
-
-    /** Another controller answered heartbeats of these machines lately. */
-    data class LeasesRenewedByFollower(
-        val machineNames: Set<MachineName>,
-    ) : RecordEvent
-
-    data class LeaderChanged(
-        val leader: Versioned<LeaderRecord>?,
-    ) : RecordEvent
-}
-
-/** How many tasks of a job are done, and how many are on machines, as the records say. */
-data class Progress(
-    val done: Int,
-    val running: Int,
-)
-
-/** A reader's copy of the records, to look at and not to change. */
-interface RecordView {
-    val leader: Versioned<LeaderRecord>?
-    val term: Versioned<Term>?
-    val bootingMachines: Any?
-    val revokedRenewals: Versioned<MachineSetRecord>?
-
-    fun job(id: JobId): Versioned<JobRecord>?
-
-    fun jobs(): Map<JobId, Versioned<JobRecord>>
-
-    fun progressRecords(): Map<JobId, Map<Int, Versioned<ProgressRecord>>>
-
-    /** Logged starts and ends by slot. */
-    fun log(): Map<Int, Versioned<LogRecord>>
-
-    fun progress(id: JobId): Progress
-}
-
 /**
- * This controller's copy of the records of all jobs that have not ended. Pure state; the reading is the
- * [RecordWatcher]'s.
+ * This controller's copy of the records of all unfinished jobs. Pure state, confined to one thread: the [RecordWatcher]
+ * reads the key-value store. Changes may be applied repeatedly and out of order; of each key, the newest version counts.
  */
 class RecordReplica : RecordView {
     private val log = LoggerFactory.getLogger("umberslip.records")
     private val jobs = HashMap<JobId, Versioned<JobRecord>>()
     private val blocks = HashMap<JobId, HashMap<Int, Versioned<ProgressRecord>>>()
-    private val entries = HashMap<Int, Versioned<LogRecord>>()
+    private val logEntries = HashMap<Int, Versioned<LogRecord>>()
 
-    /** The rows of the log by job, since every question about a job asks for its own. */
-    private val rowsOf = HashMap<JobId, HashMap<Int, LogRow>>()
-    private val corrupt = HashSet<String>()
+    /** The rows of the log by job and slot, since every question about a job needs its own. */
+    private val logRows = HashMap<JobId, HashMap<Int, LogRow>>()
+    private val malformedKeys = HashSet<String>()
 
-    /** The keys of records that cannot be read; they are left alone. */
-    val unreadable: Set<String> get() = corrupt
+    /** The keys of malformed records; these are left alone. */
+    val unreadable: Set<String> get() = malformedKeys
 
     override var leader: Versioned<LeaderRecord>? = null
         private set
@@ -90,63 +41,70 @@
 
     override fun progressRecords(): Map<JobId, Map<Int, Versioned<ProgressRecord>>> = blocks
 
-    override fun log(): Map<Int, Versioned<LogRecord>> = entries
+    override fun log(): Map<Int, Versioned<LogRecord>> = logEntries
 
     override fun progress(id: JobId): Progress {
         val stored = blocks[id]?.values.orEmpty().map { it.value }
         val storedSeq = stored.minOfOrNull { it.seq } ?: 0L
         val placed = BitSet()
-        val done = BitSet()
+        val loggedDone = BitSet()
         for (block in stored) for (placement in block.placed) placed.set(placement.index)
         // Replayed in order, since a later entry may repeat what an earlier one says.
         for (row in rowsAfter(storedSeq, id)) {
             for (start in row.starts) placed.set(start.index)
             for (end in row.ends) {
                 placed.clear(end.index)
-                if (end.done) done.set(end.index)
+                if (end.done) loggedDone.set(end.index)
             }
         }
         val tasks = jobs[id]?.value?.spec?.tasks ?: 0
-        val doneCount = minOf(stored.sumOf { it.done.cardinality() } + done.cardinality(), tasks)
-        return Progress(doneCount, placed.cardinality().coerceAtMost(tasks - doneCount))
+        val done = minOf(stored.sumOf { it.done.cardinality() } + loggedDone.cardinality(), tasks)
+        return Progress(done, running = placed.cardinality().coerceAtMost(tasks - done))
     }
 
-    /** What the log says of a job in entries later than that one, in their order. */
+    /** A job's rows of the log entries later than [seq], in the order of the log. */
     private fun rowsAfter(
         seq: Long,
         id: JobId,
     ): List<LogRow> {
-        val bySlot = rowsOf[id] ?: return emptyList()
-        return bySlot
-            .mapNotNull { (slot, row) -> entries[slot]?.let { it.value.seq to row } }
+        val rowsBySlot = logRows[id] ?: return emptyList()
+        return rowsBySlot
+            .mapNotNull { (slot, row) -> logEntries[slot]?.let { it.value.seq to row } }
             .filter { (rowSeq, _) -> rowSeq > seq }
             .sortedBy { (rowSeq, _) -> rowSeq }
             .map { (_, row) -> row }
     }
 
+    /** Applies a change that the key-value store reported; null where nobody has to act on it. */
     fun apply(change: Change): RecordEvent? =
         when (change) {
             is Change.Put -> put(Entry(change.key, change.data, change.version))
-            is Change.Drop -> drop(change.key, change.version)
+            is Change.Drop -> remove(change.key, change.version)
         }
 
-    /** Takes all keys as read page by page; what is not among them is gone. */
+    /** Applies [entries], which are all records: jobs, progress blocks and a leader not among them were removed. */
     fun replace(entries: List<Entry>): List<RecordEvent> {
-        val seen = entries.mapTo(HashSet()) { it.key }
-        val gone = ArrayList<String>()
-        jobs.keys.forEach { gone += Keys.job(it) }
-        blocks.forEach { (id, all) -> all.keys.forEach { gone += Keys.progress(id, it) } }
-        gone += Keys.LEADER
-        return gone.filter { it !in seen }.mapNotNull { drop(it, Version(Long.MAX_VALUE)) } + entries.mapNotNull(::put)
+        val present = entries.mapTo(HashSet()) { it.key }
+        val known = ArrayList<String>()
+        jobs.keys.mapTo(known, Keys::job)
+        for ((id, ofJob) in blocks) ofJob.keys.mapTo(known) { Keys.progress(id, it) }
+        known += Keys.LEADER
+        val removals = known.filter { it !in present }.mapNotNull { remove(it, NEWER_THAN_ANY) }
+        return removals + entries.mapNotNull(::put)
     }
 
     private fun put(entry: Entry): RecordEvent? =
         try {
             putParsed(entry)
         } catch (e: MalformedMessageException) {
-            // Reported, never guessed at: the key is left alone and its job neither runs nor is forgotten.
-            if (corrupt.add(entry.key)) {
-                log.error("record {} at {} cannot be read: {}", entry.key, entry.version.value, e.message)
+            // Reported, never guessed at: the key is left alone, and its job neither runs nor is forgotten.
+            if (malformedKeys.add(entry.key)) {
+                log.error(
+                    "malformed record left alone: key={} version={} reason={}",
+                    entry.key,
+                    entry.version.value,
+                    e.message,
+                )
             }
             null
         }
@@ -157,18 +115,19 @@
         val slot = Keys.asLog(entry.key)
         when {
             job != null -> return putJob(job, entry)
-            block != null -> putProgress(block.first, block.second, entry)
+            block != null -> putProgress(block, entry)
             slot != null -> putLogEntry(slot, entry)
-            entry.key == Keys.LEADER -> return putOwner(entry)
-            entry.key == Keys.TERM -> putTerm(entry)
+            entry.key == Keys.LEADER -> return putLeader(entry)
+            entry.key == Keys.TERM -> term = Versioned(TermRecord.parse(entry.data).term, entry.version)
             entry.key == Keys.REVOKED_RENEWALS -> putRevokedRenewals(entry)
             entry.key == Keys.BOOTING_MACHINES -> bootingMachines = entry.data
-            Keys.isFollowerRenewals(entry.key) -> return RecordEvent.LeasesRenewedByFollower(MachineSetRecord.parse(entry.data).machineNames)
+            Keys.isFollowerRenewals(entry.key) -> {
+                return RecordEvent.LeasesRenewedByFollower(MachineSetRecord.parse(entry.data).machineNames)
+            }
         }
         return null
     }
 
-    /** Whether an entry is newer than what is known of its key. */
     private fun Entry.isNewerThan(known: Versioned<*>?): Boolean = known == null || version.value > known.version.value
 
     private fun putJob(
@@ -182,85 +141,98 @@
     }
 
     private fun putProgress(
-        id: JobId,
-        number: Int,
+        key: ProgressKey,
         entry: Entry,
     ) {
-        val all = blocks.getOrPut(id) { HashMap() }
-        if (entry.isNewerThan(all[number])) all[number] = Versioned(ProgressRecord.parse(entry.data), entry.version)
+        val ofJob = blocks.getOrPut(key.job) { HashMap() }
+        if (!entry.isNewerThan(ofJob[key.block])) return
+        ofJob[key.block] = Versioned(ProgressRecord.parse(entry.data), entry.version)
     }
 
     private fun putLogEntry(
         slot: Int,
         entry: Entry,
     ) {
-        if (entry.isNewerThan(entries[slot])) logged(slot, Versioned(LogRecord.parse(entry.data), entry.version))
+        val replaced = logEntries[slot]
+        if (!entry.isNewerThan(replaced)) return
+        val record = LogRecord.parse(entry.data)
+        replaced
+            ?.value
+            ?.rows
+            ?.keys
+            ?.forEach { removeLogRow(it, slot) }
+        logEntries[slot] = Versioned(record, entry.version)
+        for ((job, row) in record.rows) logRows.getOrPut(job) { HashMap() }[slot] = row
     }
 
-    private fun putOwner(entry: Entry): RecordEvent? {
+    private fun removeLogRow(
+        job: JobId,
+        slot: Int,
+    ) {
+        val rowsBySlot = logRows[job] ?: return
+        rowsBySlot.remove(slot)
+        if (rowsBySlot.isEmpty()) logRows.remove(job)
+    }
+
+    private fun putLeader(entry: Entry): RecordEvent? {
         if (!entry.isNewerThan(leader)) return null
         leader = Versioned(LeaderRecord.parse(entry.data), entry.version)
         return RecordEvent.LeaderChanged(leader)
     }
 
-    private fun putTerm(entry: Entry) {
-        val number = Fields.of(entry.data, Keys.TERM).long("term")
-        term = Versioned(Term(number), entry.version)
-    }
-
     private fun putRevokedRenewals(entry: Entry) {
-        if (entry.isNewerThan(revokedRenewals)) revokedRenewals = Versioned(MachineSetRecord.parse(entry.data), entry.version)
-    }
-
-    private fun logged(
-        slot: Int,
-        record: Versioned<LogRecord>,
-    ) {
-        entries[slot]?.value?.rows?.keys?.forEach { job ->
-            val rows = rowsOf[job] ?: return@forEach
-            rows.remove(slot)
-            if (rows.isEmpty()) rowsOf.remove(job)
-        }
-        entries[slot] = record
-        for ((job, row) in record.value.rows) rowsOf.getOrPut(job) { HashMap() }[slot] = row
+        if (!entry.isNewerThan(revokedRenewals)) return
+        revokedRenewals = Versioned(MachineSetRecord.parse(entry.data), entry.version)
     }
 
-    private fun drop(
+    private fun remove(
         key: String,
         version: Version,
     ): RecordEvent? {
-        corrupt.remove(key)
-        val jobId = Keys.asJob(key)
-        val block = if (jobId == null) Keys.asProgress(key) else null
+        malformedKeys.remove(key)
+        val job = Keys.asJob(key)
+        val block = if (job == null) Keys.asProgress(key) else null
         return when {
-            jobId != null -> {
-                val job = jobs[jobId]?.takeIf { it.version.value < version.value }
-                if (job == null) {
-                    null
-                } else {
-                    jobs.remove(jobId)
-                    RecordEvent.JobRemoved(jobId)
-                }
-            }
+            job != null -> removeJob(job, version)
             block != null -> {
-                val all = blocks[block.first]
-                if (all != null) {
-                    val known = all[block.second]
-                    if (known != null && known.version.value < version.value) all.remove(block.second)
-                    if (all.isEmpty()) blocks.remove(block.first)
-                }
+                removeProgress(block, version)
                 null
             }
-            key == Keys.LEADER -> {
-                val known = leader
-                if (known != null && known.version.value < version.value) {
-                    leader = null
-                    RecordEvent.LeaderChanged(null)
-                } else {
-                    null
-                }
-            }
+            key == Keys.LEADER -> removeLeader(version)
             else -> null
         }
     }
+
+    private fun Versioned<*>.isOlderThan(removal: Version): Boolean = version.value < removal.value
+
+    private fun removeJob(
+        id: JobId,
+        removal: Version,
+    ): RecordEvent? {
+        val known = jobs[id] ?: return null
+        if (!known.isOlderThan(removal)) return null
+        jobs.remove(id)
+        return RecordEvent.JobRemoved(id)
+    }
+
+    private fun removeProgress(
+        key: ProgressKey,
+        removal: Version,
+    ) {
+        val ofJob = blocks[key.job] ?: return
+        if (ofJob[key.block]?.isOlderThan(removal) == true) ofJob.remove(key.block)
+        if (ofJob.isEmpty()) blocks.remove(key.job)
+    }
+
+    private fun removeLeader(removal: Version): RecordEvent? {
+        val known = leader ?: return null
+        if (!known.isOlderThan(removal)) return null
+        leader = null
+        return RecordEvent.LeaderChanged(null)
+    }
+
+    private companion object {
+        /** What a complete read does not show was removed, whatever its version was. */
+        val NEWER_THAN_ANY = Version(Long.MAX_VALUE)
+    }
 }
--- a/src/main/kotlin/umberslip/records/RecordWatcher.kt
+++ b/src/main/kotlin/umberslip/records/RecordWatcher.kt
@@ -7,29 +7,31 @@
 import kotlinx.coroutines.launch
 import umberslip.actor.Actor
 import umberslip.core.Clock
-import umberslip.http.NoResponseException
-import umberslip.http.ServiceUnavailableException
+import umberslip.http.ServiceException
 import umberslip.store.KeyValueStore
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
+/** What the [RecordWatcher] handles. */
 sealed interface RecordWatcherMessage {
-    /** Answered with a snapshot confirmed by a read begun after this came; null where that failed. */
+    /** Answered with a view confirmed by a read that began after this message; null where that read failed. */
     class Confirm(
         val answer: CompletableDeferred<RecordView?>,
     ) : RecordWatcherMessage
 
-    /** Something was written that others should see soon. */
+    /** Something was written that controllers should see soon. */
     data object Refresh : RecordWatcherMessage
 
+    /** The watcher's own: the read under way ended. */
     class ReadCompleted(
         val confirmed: Boolean,
     ) : RecordWatcherMessage
 
+    /** The watcher's own: its timer fired. */
     data object Due : RecordWatcherMessage
 }
 
-/** What becomes of the events that reads bring; called on the actors' thread. */
+/** Receives the events of each confirmed read; called on the actors' thread. */
 fun interface RecordListener {
     fun changed(
         events: List<RecordEvent>,
@@ -38,8 +40,8 @@
 }
 
 /**
- * Keeps the replica up to date by reading the changes after the last known revision. One read runs
- * at a time; all who ask while it runs share the next one.
+ * Keeps a replica of the records up to date by reading the changes after the last known revision. One read runs at a
+ * time; all who ask for a confirmed view while it runs share the next one.
  */
 class RecordWatcher(
     private val scope: CoroutineScope,
@@ -51,12 +53,16 @@
 ) : Actor<RecordWatcherMessage>("records", scope, DEFAULT_CAPACITY + maxRequests) {
     private val maxWaiting = DEFAULT_CAPACITY + maxRequests
     private val replica = RecordReplica()
+
+    /** The revision that the replica shows; null before the first complete read. */
     private var revision: Long? = null
-    private var reading = false
-    private var running = ArrayList<CompletableDeferred<RecordView?>>()
+    private var isReading = false
+
+    /** Who is answered by the read under way, and who by the next one. */
+    private var askedBeforeRead = ArrayList<CompletableDeferred<RecordView?>>()
     private var waiting = ArrayList<CompletableDeferred<RecordView?>>()
     private var refreshRequested = false
-    private var failures = 0
+    private var consecutiveFailures = 0
     private var lastBegan = Duration.ZERO
     private var timer: Job? = null
 
@@ -64,6 +70,7 @@
     var confirmedAt: Duration? = null
         private set
 
+    /** The records as of a read that begins after this call; null where it failed or too many callers wait. */
     suspend fun confirm(): RecordView? {
         val answer = CompletableDeferred<RecordView?>()
         if (!trySend(RecordWatcherMessage.Confirm(answer))) return null
@@ -80,45 +87,52 @@
             RecordWatcherMessage.Refresh -> refreshRequested = true
             RecordWatcherMessage.Due -> {
                 timer = null
-                if (clock.now() - lastBegan >= IDLE) refreshRequested = true
-            }
-            is RecordWatcherMessage.ReadCompleted -> {
-                reading = false
-                val asked = running
-                running = ArrayList()
-                asked.forEach { it.complete(if (message.confirmed) replica else null) }
+                if (clock.now() - lastBegan >= IDLE_INTERVAL) refreshRequested = true
             }
+            is RecordWatcherMessage.ReadCompleted -> readCompleted(message.confirmed)
         }
         schedule()
     }
 
+    private fun readCompleted(confirmed: Boolean) {
+        isReading = false
+        val answered = askedBeforeRead
+        askedBeforeRead = ArrayList()
+        answered.forEach { it.complete(if (confirmed) replica else null) }
+    }
+
+    /** Begins the next read, or sets the timer for it. */
     private fun schedule() {
-        if (reading) return
+        if (isReading) return
         val now = clock.now()
-        val wanted = refreshRequested || waiting.isNotEmpty()
-        // Reads are spaced out: those who ask meanwhile share one, and the service's rate is kept.
-        val gap = if (failures > 0) BACK_OFF else SPACING
-        val since = now - lastBegan
-        if (wanted && (since >= gap || lastBegan == Duration.ZERO)) {
+        val isWanted = refreshRequested || waiting.isNotEmpty()
+        // Reads are spaced out: those who ask meanwhile share one, and the key-value store's rate limit is kept.
+        val interval = if (consecutiveFailures > 0) FAILURE_INTERVAL else MIN_INTERVAL
+        val sinceLast = now - lastBegan
+        if (isWanted && (sinceLast >= interval || lastBegan == Duration.ZERO)) {
             begin(now)
-        } else if (timer?.isActive != true || wanted) {
-            timer?.cancel()
-            timer =
-                scope.launch {
-                    delay(if (wanted) gap - since else IDLE - since)
-                    timer = null
-                    enqueue(RecordWatcherMessage.Due)
-                }
+        } else if (timer?.isActive != true || isWanted) {
+            startTimer((if (isWanted) interval else IDLE_INTERVAL) - sinceLast)
         }
     }
 
+    private fun startTimer(wait: Duration) {
+        timer?.cancel()
+        timer =
+            scope.launch {
+                delay(wait)
+                timer = null
+                enqueue(RecordWatcherMessage.Due)
+            }
+    }
+
     private fun begin(now: Duration) {
         timer?.cancel()
         timer = null
-        reading = true
+        isReading = true
         refreshRequested = false
         lastBegan = now
-        running = waiting
+        askedBeforeRead = waiting
         waiting = ArrayList()
         scope.launch {
             val confirmed = read(now)
@@ -126,45 +140,53 @@
         }
     }
 
+    /** Whether the replica is confirmed to show everything written before [began]. */
     private suspend fun read(began: Duration): Boolean {
         try {
-            val from = revision
-            val changes = if (from == null) null else store.changes(Keys.ROOT, from)
-            val events =
-                if (changes == null) {
-                    readAll()
-                } else {
-                    changes.changes.mapNotNull(replica::apply).also { revision = changes.revision }
-                }
-            if (failures > 0) log.info("the state service answers again after {} failed reads", failures)
-            failures = 0
-            confirmedAt = began
+            val events = readChanges() ?: readAll()
+            succeeded(began)
             listener.changed(events, began)
             return true
-        } catch (e: ServiceUnavailableException) {
-            failed(e.message)
-        } catch (e: NoResponseException) {
-            failed(e.message)
+        } catch (e: ServiceException) {
+            failed(e)
+            return false
         }
-        return false
+    }
+
+    /** Null where everything has to be read: at first, and where the known revision is too old. */
+    private suspend fun readChanges(): List<RecordEvent>? {
+        val from = revision ?: return null
+        val changes = store.changes(Keys.ROOT, from) ?: return null
+        return changes.changes.mapNotNull(replica::apply).also { revision = changes.revision }
     }
 
     private suspend fun readAll(): List<RecordEvent> {
-        // Changes are taken up from the first page's revision: what the later pages already show is then seen twice.
+        // Changes are read on from the first page's revision: those that the later pages show already are applied twice.
         val pages = RecordPages.read(store)
         revision = pages.revision
-        log.info("read {} records at revision {}", pages.entries.size, pages.revision)
+        log.info("all records read: records={} revision={}", pages.entries.size, pages.revision)
         return replica.replace(pages.entries)
     }
 
-    private fun failed(why: String?) {
-        failures++
-        if (failures == 1) log.warn("the records cannot be read: {}", why)
+    private fun succeeded(began: Duration) {
+        if (consecutiveFailures > 0) log.info("records can be read again: failedReads={}", consecutiveFailures)
+        consecutiveFailures = 0
+        confirmedAt = began
+    }
+
+    private fun failed(failure: ServiceException) {
+        consecutiveFailures++
+        if (consecutiveFailures == 1) log.warn("reading the records failed: reason={}", failure.message)
     }
 
     private companion object {
-        val SPACING = 70.milliseconds
-        val BACK_OFF = 250.milliseconds
-        val IDLE = 300.milliseconds
+        /** Between reads that somebody waits for: short beside a heartbeat, long beside a read. */
+        val MIN_INTERVAL = 70.milliseconds
+
+        /** Between reads while they fail, so that a struggling key-value store is spared. */
+        val FAILURE_INTERVAL = 250.milliseconds
+
+        /** Between reads that nobody asked for: they show what other controllers wrote. */
+        val IDLE_INTERVAL = 300.milliseconds
     }
 }
--- a/src/main/kotlin/umberslip/scheduling/SchedulerState.kt
+++ b/src/main/kotlin/umberslip/scheduling/SchedulerState.kt
@@ -638,7 +638,7 @@
         val block = Keys.asProgress(key)
         val job = Keys.asJob(key)
         if (block != null) {
-            jobs[block.first]?.blockNumber(block.second)?.version = version ?: Version.NONE
+            jobs[block.job]?.blockNumber(block.block)?.version = version ?: Version.NONE
         } else if (job != null && version == null) {
             jobs[job]?.let(::remove)
         } else if (job != null && version != null && data != null) {
--- a/src/test/kotlin/umberslip/records/RecordsTest.kt
+++ b/src/test/kotlin/umberslip/records/RecordsTest.kt
@@ -215,7 +215,7 @@
                 val id = JobId.parse(text)
                 if (id != null) {
                     assertEquals(id, Keys.asJob(Keys.job(id)))
-                    assertEquals(id to 3, Keys.asProgress(Keys.progress(id, 3)))
+                    assertEquals(ProgressKey(id, 3), Keys.asProgress(Keys.progress(id, 3)))
                     assertEquals(TaskId(id, 12), TaskId.parse(TaskId(id, 12).toString()))
                 }
             }
--- a/src/test/kotlin/umberslip/scheduling/SchedulerStateTest.kt
+++ b/src/test/kotlin/umberslip/scheduling/SchedulerStateTest.kt
@@ -737,7 +737,7 @@
         startAll(long)
         t.now += 30.seconds
         t.write()
-        assertTrue(t.written.any { Keys.asProgress(it.key)?.first == long.spec.id })
+        assertTrue(t.written.any { Keys.asProgress(it.key)?.job == long.spec.id })
     }
 
     @Test
