--- a/src/main/kotlin/umberslip/agents/Heartbeat.kt
+++ b/src/main/kotlin/umberslip/agents/Heartbeat.kt
@@ -3,9 +3,9 @@
 import umberslip.core.MachineName
 import umberslip.core.TaskId
 import umberslip.core.Term
+import umberslip.http.DocumentReader
 import umberslip.http.Documents
 import umberslip.http.MalformedMessageException
-import umberslip.http.Streamed
 
 enum class TaskState(
     val word: String,
@@ -75,7 +75,7 @@
         /** Hundreds come every second, each with all that is on a machine, so they are read as they stream by. */
         fun parse(body: ByteArray): Heartbeat = Documents.readCbor(body, ::read)
 
-        private fun read(s: Streamed): Heartbeat {
+        private fun read(s: DocumentReader): Heartbeat {
             var machineName: String? = null
             var type: String? = null
             var zone: String? = null
@@ -111,7 +111,7 @@
             )
         }
 
-        private fun piece(s: Streamed): ReportedTask {
+        private fun piece(s: DocumentReader): ReportedTask {
             var task: TaskId? = null
             var attempt: Long? = null
             var status: TaskState? = null
--- a/src/main/kotlin/umberslip/http/HttpClient.kt
+++ b/src/main/kotlin/umberslip/http/HttpClient.kt
@@ -12,6 +12,7 @@
 import io.netty.channel.socket.SocketChannel
 import io.netty.channel.socket.nio.NioSocketChannel
 import io.netty.handler.codec.http.DefaultFullHttpRequest
+import io.netty.handler.codec.http.FullHttpRequest
 import io.netty.handler.codec.http.FullHttpResponse
 import io.netty.handler.codec.http.HttpClientCodec
 import io.netty.handler.codec.http.HttpHeaderNames
@@ -25,40 +26,76 @@
 import kotlin.time.Duration
 import kotlin.time.TimeSource
 
+/** A server's response to a request of the [HttpClient]; the body is null where there is none. */
 class Reply(
     val status: Int,
     val body: Any?,
 ) {
+    /** The body as a map. */
     fun fields(): Fields = Fields.of(body)
 }
 
-/** Calls one server over kept-open connections, one request at a time on each. */
+/**
+ * Sends requests to one server over persistent connections, one request at a time on each. Confined to the thread of
+ * [group], which has only one.
+ */
 class HttpClient(
     private val group: EventLoopGroup,
     private val address: InetSocketAddress,
+    /** The most bytes that a response may have. */
     private val maxBody: Int,
     private val timeSource: TimeSource = TimeSource.Monotonic,
 ) {
-    private val idle = ArrayDeque<Channel>()
+    private val idleConnections = ArrayDeque<Channel>()
 
+    /**
+     * Sends a request and waits for its response, for at most [timeout] to connect and as long again to respond.
+     *
+     * @throws ServiceUnavailableException where nothing was sent
+     * @throws NoResponseException where no response arrived, or none that can be read
+     */
     suspend fun call(
         method: HttpMethod,
         path: String,
         body: Any?,
         timeout: Duration,
     ): Reply {
+        val channel = connectWithin(timeout)
+        val reply = CompletableDeferred<Reply>()
+        channel.pipeline().get(ReplyHandler::class.java).pendingReply = reply
+        channel.writeAndFlush(request(method, path, body)).addListener(
+            ChannelFutureListener {
+                if (!it.isSuccess) reply.completeExceptionally(NoResponseException("$address: ${it.cause()}"))
+            },
+        )
+        try {
+            return withTimeoutOrNull(timeout) { reply.await() }
+                ?: throw NoResponseException("no response from $address within $timeout")
+        } finally {
+            // A connection with an outstanding response cannot be used again.
+            if (!reply.isCompleted) channel.close()
+        }
+    }
+
+    private suspend fun connectWithin(timeout: Duration): Channel {
         val began = timeSource.markNow()
         val channel =
-            withTimeoutOrNull(timeout) { connection() } ?: throw ServiceUnavailableException("no connection to $address in $timeout")
-        // After a standstill of the process, the connection and the timer are ready at the same time. What was to be
-        // sent rests on what was known then.
+            withTimeoutOrNull(timeout) { connection() }
+                ?: throw ServiceUnavailableException("no connection to $address within $timeout")
+        // After a pause of the process, the connection and the timer are ready at the same time. The request rests on
+        // what was known before the pause, so it is not sent.
         if (began.elapsedNow() > timeout) {
-            idle.addLast(channel)
-            throw ServiceUnavailableException("not sent to $address in $timeout")
+            idleConnections.addLast(channel)
+            throw ServiceUnavailableException("not sent to $address within $timeout")
         }
-        val answer = CompletableDeferred<Reply>()
-        val calls = channel.pipeline().get(Calls::class.java)
-        calls.waiting = answer
+        return channel
+    }
+
+    private fun request(
+        method: HttpMethod,
+        path: String,
+        body: Any?,
+    ): FullHttpRequest {
         val bytes = if (body == null) ByteArray(0) else Documents.writeCbor(body)
         val request = DefaultFullHttpRequest(HttpVersion.HTTP_1_1, method, path, Unpooled.wrappedBuffer(bytes))
         request
@@ -66,79 +103,77 @@
             .set(HttpHeaderNames.HOST, "${address.hostString}:${address.port}")
             .set(HttpHeaderNames.CONTENT_LENGTH, bytes.size)
         if (body != null) request.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/cbor")
-        channel.writeAndFlush(request).addListener(
-            ChannelFutureListener {
-                if (!it.isSuccess) answer.completeExceptionally(NoResponseException("$address: ${it.cause()}"))
-            },
-        )
-        try {
-            return withTimeoutOrNull(timeout) { answer.await() }
-                ?: throw NoResponseException("no answer from $address in $timeout")
-        } finally {
-            // A connection with an answer outstanding cannot be used again.
-            if (!answer.isCompleted) channel.close()
-        }
+        return request
     }
 
     private suspend fun connection(): Channel {
         while (true) {
-            val kept = idle.removeLastOrNull() ?: break
-            if (kept.isActive) return kept
+            val idle = idleConnections.removeLastOrNull() ?: break
+            if (idle.isActive) return idle
         }
-        val made = CompletableDeferred<Channel>()
+        return connect()
+    }
+
+    private suspend fun connect(): Channel {
+        val connected = CompletableDeferred<Channel>()
         val future =
             Bootstrap()
                 .group(group)
                 .channel(NioSocketChannel::class.java)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
                 .handler(
                     object : ChannelInitializer<SocketChannel>() {
                         override fun initChannel(channel: SocketChannel) {
-                            channel.pipeline().addLast(HttpClientCodec(), HttpObjectAggregator(maxBody), Calls())
+                            channel.pipeline().addLast(HttpClientCodec(), HttpObjectAggregator(maxBody), ReplyHandler())
                         }
                     },
                 ).connect(address)
         future.addListener(
             ChannelFutureListener {
                 if (!it.isSuccess) {
-                    made.completeExceptionally(ServiceUnavailableException("$address: ${it.cause()}"))
-                } else if (!made.complete(it.channel())) {
+                    connected.completeExceptionally(ServiceUnavailableException("$address: ${it.cause()}"))
+                } else if (!connected.complete(it.channel())) {
+                    // The caller no longer waits.
                     it.channel().close()
                 }
             },
         )
         try {
-            return made.await()
+            return connected.await()
         } finally {
-            made.cancel()
+            connected.cancel()
         }
     }
 
-    private inner class Calls : SimpleChannelInboundHandler<FullHttpResponse>() {
-        var waiting: CompletableDeferred<Reply>? = null
+    /** Completes the pending reply of its connection. */
+    private inner class ReplyHandler : SimpleChannelInboundHandler<FullHttpResponse>() {
+        var pendingReply: CompletableDeferred<Reply>? = null
 
         override fun channelRead0(
             ctx: ChannelHandlerContext,
             message: FullHttpResponse,
         ) {
-            val answer = waiting
-            waiting = null
+            val reply = pendingReply
+            pendingReply = null
             val bytes = ByteArray(message.content().readableBytes())
             message.content().readBytes(bytes)
-            if (HttpUtil.isKeepAlive(message) && answer != null) idle.addLast(ctx.channel()) else ctx.close()
+            if (HttpUtil.isKeepAlive(message) && reply != null) {
+                idleConnections.addLast(ctx.channel())
+            } else {
+                ctx.close()
+            }
             try {
-                answer?.complete(
-                    Reply(message.status().code(), if (bytes.isEmpty()) null else Documents.readCbor(bytes)),
-                )
+                val body = if (bytes.isEmpty()) null else Documents.readCbor(bytes)
+                reply?.complete(Reply(message.status().code(), body))
             } catch (e: MalformedMessageException) {
-                answer?.completeExceptionally(NoResponseException("$address answered nonsense: ${e.message}"))
+                reply?.completeExceptionally(NoResponseException("malformed response from $address: ${e.message}"))
             }
         }
 
         override fun channelInactive(ctx: ChannelHandlerContext) {
-            idle.remove(ctx.channel())
-            waiting?.completeExceptionally(NoResponseException("$address closed the connection"))
+            idleConnections.remove(ctx.channel())
+            pendingReply?.completeExceptionally(NoResponseException("$address closed the connection"))
         }
 
         @Deprecated("as Netty's")
@@ -146,12 +181,13 @@
             ctx: ChannelHandlerContext,
             cause: Throwable,
         ) {
-            waiting?.completeExceptionally(NoResponseException("$address: $cause"))
+            pendingReply?.completeExceptionally(NoResponseException("$address: $cause"))
             ctx.close()
         }
     }
 
     private companion object {
-        const val CONNECT_MILLIS = 1000
+        /** As long as the shortest timeouts of callers. */
+        const val CONNECT_TIMEOUT_MILLIS = 1000
     }
 }
--- a/src/main/kotlin/umberslip/http/HttpServer.kt
+++ b/src/main/kotlin/umberslip/http/HttpServer.kt
@@ -13,6 +13,7 @@
 import io.netty.channel.socket.nio.NioServerSocketChannel
 import io.netty.handler.codec.http.DefaultFullHttpResponse
 import io.netty.handler.codec.http.FullHttpRequest
+import io.netty.handler.codec.http.FullHttpResponse
 import io.netty.handler.codec.http.HttpHeaderNames
 import io.netty.handler.codec.http.HttpMessage
 import io.netty.handler.codec.http.HttpObjectAggregator
@@ -26,98 +27,61 @@
 import org.slf4j.LoggerFactory
 import java.net.InetSocketAddress
 
-class Request(
-    val method: String,
-    val path: String,
-    val body: ByteArray,
-) {
-    /** The body as a CBOR map. */
-    fun fields(): Fields = Fields.of(Documents.readCbor(body))
-}
-
-class Response(
-    val status: Int,
-    val body: Any?,
-    val retryAfterSeconds: Int? = null,
-    val plain: String? = null,
-    /** Ends the connection, so that the sender's next one may lead elsewhere. */
-    val close: Boolean = false,
-) {
-    companion object {
-        /** Asks the sender to come back; always answered at once, never held back. */
-        fun retryAfter(
-            seconds: Int,
-            why: String,
-            close: Boolean = false,
-        ) = Response(503, mapOf("error" to why), seconds, close = close)
-
-        /** To a worker: not here, and nobody is known to be the one; it asks around. */
-        val MISDIRECTED = Response(421, emptyMap<String, Any?>())
-
-        fun error(
-            status: Int,
-            why: String,
-        ) = Response(status, mapOf("error" to why))
-    }
-}
-
-/** Answers a request, now or later, exactly once, on the event loop. */
-fun interface Handler {
-    fun handle(
-        request: Request,
-        respond: (Response) -> Unit,
-    )
-}
-
-/** The one HTTP listener of a controller: users, workers and health checks. */
+/**
+ * The one HTTP listener of a controller, for users, workers and health checks. Confined to the thread of [group], which
+ * has only one.
+ */
 class HttpServer(
     private val group: EventLoopGroup,
+    /** With one more, the connection that was idle longest is closed; if none is idle, the new one is. */
     private val maxConnections: Int,
     private val handler: Handler,
 ) {
     private val log = LoggerFactory.getLogger("umberslip.http")
 
-    /** Connections with no request on them, the longest idle first, and how many there are in all. */
-    private val idle = LinkedHashSet<Channel>()
-    private var open = 0
+    /** Connections with no request on them, the longest idle first. */
+    private val idleConnections = LinkedHashSet<Channel>()
+    private var openConnections = 0
 
     fun bind(address: InetSocketAddress): Channel =
         ServerBootstrap()
             .group(group)
             .channel(NioServerSocketChannel::class.java)
-            // After a takeover the workers of the whole fleet connect at once.
+            // After a failover the workers of the whole cluster connect at once.
             .option(ChannelOption.SO_BACKLOG, maxConnections)
             .option(ChannelOption.SO_REUSEADDR, true)
             .childOption(ChannelOption.TCP_NODELAY, true)
             .childHandler(
                 object : ChannelInitializer<SocketChannel>() {
-                    override fun initChannel(channel: SocketChannel) {
-                        // The process has a fixed number of sockets; some stay free for its own calls. Whoever was
-                        // idle longest makes room, so that users and workers find it however many others came once.
-                        if (open >= maxConnections && idle.firstOrNull()?.close() == null) {
-                            channel.close()
-                            return
-                        }
-                        open++
-                        idle += channel
-                        channel.closeFuture().addListener {
-                            open--
-                            idle -= channel
-                        }
-                        channel.pipeline().addLast(
-                            HttpServerCodec(),
-                            Aggregator(),
-                            IdleStateHandler(0, 0, IDLE_SECONDS),
-                            Connection(),
-                        )
-                    }
+                    override fun initChannel(channel: SocketChannel) = accept(channel)
                 },
             ).bind(address)
             .sync()
             .channel()
 
-    /** A body over the limit is malformed (400) rather than Netty's 413. */
-    private class Aggregator : HttpObjectAggregator(MAX_BODY) {
+    private fun accept(channel: SocketChannel) {
+        // The process has a fixed number of sockets, some of which stay free for its own requests. The connection that
+        // was idle longest is closed for a new one, so that users and workers are served however many others are idle.
+        if (openConnections >= maxConnections && idleConnections.firstOrNull()?.close() == null) {
+            channel.close()
+            return
+        }
+        openConnections++
+        idleConnections += channel
+        channel.closeFuture().addListener {
+            openConnections--
+            idleConnections -= channel
+        }
+        channel.pipeline().addLast(
+            HttpServerCodec(),
+            Aggregator(),
+            IdleStateHandler(0, 0, IDLE_TIMEOUT_SECONDS),
+            RequestHandler(),
+        )
+    }
+
+    /** Responds to a body over the limit with 400, as the protocol says, and not with 413 as Netty does. */
+    private class Aggregator : HttpObjectAggregator(MAX_BODY_BYTES) {
         override fun handleOversizedMessage(
             ctx: ChannelHandlerContext,
             oversized: HttpMessage,
@@ -128,33 +92,39 @@
         }
     }
 
-    private inner class Connection : SimpleChannelInboundHandler<FullHttpRequest>() {
+    private inner class RequestHandler : SimpleChannelInboundHandler<FullHttpRequest>() {
         override fun channelRead0(
             ctx: ChannelHandlerContext,
             message: FullHttpRequest,
         ) {
             val keepAlive = HttpUtil.isKeepAlive(message)
-            idle -= ctx.channel()
+            idleConnections -= ctx.channel()
             if (message.decoderResult().isFailure) {
-                send(ctx, Response.error(400, "not HTTP"), false)
+                send(ctx, Response.error(400, "not HTTP"), keepAlive = false)
                 return
             }
             val body = ByteArray(message.content().readableBytes())
             message.content().readBytes(body)
             val request = Request(message.method().name(), QueryStringDecoder(message.uri()).path(), body)
-            var answered = false
-            val respond = { response: Response ->
-                if (!answered) {
-                    answered = true
+            var responded = false
+            handle(request) { response ->
+                if (!responded) {
+                    responded = true
                     send(ctx, response, keepAlive && !response.close)
                 }
             }
+        }
+
+        private fun handle(
+            request: Request,
+            respond: (Response) -> Unit,
+        ) {
             try {
                 handler.handle(request, respond)
             } catch (e: MalformedMessageException) {
                 respond(Response.error(400, e.message ?: "malformed"))
             } catch (e: Exception) {
-                log.error("{} {} failed", request.method, request.path, e)
+                log.error("request failed: method={} path={}", request.method, request.path, e)
                 respond(Response.retryAfter(1, "internal error"))
             }
         }
@@ -171,7 +141,7 @@
             ctx: ChannelHandlerContext,
             cause: Throwable,
         ) {
-            log.debug("connection from {} ended: {}", ctx.channel().remoteAddress(), cause.toString())
+            log.debug("connection closed: remote={} reason={}", ctx.channel().remoteAddress(), cause.toString())
             ctx.close()
         }
     }
@@ -181,6 +151,18 @@
         response: Response,
         keepAlive: Boolean,
     ) {
+        val written = ctx.writeAndFlush(encode(response, keepAlive))
+        if (!keepAlive) {
+            written.addListener(ChannelFutureListener.CLOSE)
+        } else if (ctx.channel().isActive) {
+            idleConnections += ctx.channel()
+        }
+    }
+
+    private fun encode(
+        response: Response,
+        keepAlive: Boolean,
+    ): FullHttpResponse {
         val bytes =
             response.plain?.toByteArray() ?: if (response.body == null) EMPTY else Documents.writeCbor(response.body)
         val message =
@@ -191,23 +173,22 @@
             )
         val headers = message.headers()
         headers.set(HttpHeaderNames.CONTENT_LENGTH, bytes.size)
-        headers.set(
-            HttpHeaderNames.CONTENT_TYPE,
-            if (response.plain != null) "text/plain; version=0.0.4" else "application/cbor",
-        )
+        headers.set(HttpHeaderNames.CONTENT_TYPE, if (response.plain != null) PLAIN_TEXT else CBOR)
         response.retryAfterSeconds?.let { headers.set(HttpHeaderNames.RETRY_AFTER, it) }
         if (!keepAlive) headers.set(HttpHeaderNames.CONNECTION, "close")
-        val written = ctx.writeAndFlush(message)
-        if (!keepAlive) {
-            written.addListener(ChannelFutureListener.CLOSE)
-        } else if (ctx.channel().isActive) {
-            idle += ctx.channel()
-        }
+        return message
     }
 
     private companion object {
-        const val MAX_BODY = 64 * 1024
-        const val IDLE_SECONDS = 120
+        /** The protocol's limit. */
+        const val MAX_BODY_BYTES = 64 * 1024
+
+        /** Far longer than the interval of heartbeats, so that workers keep their connections. */
+        const val IDLE_TIMEOUT_SECONDS = 120
+        const val CBOR = "application/cbor"
+
+        /** The version is that of the format in which Prometheus reads metrics. */
+        const val PLAIN_TEXT = "text/plain; version=0.0.4"
         val EMPTY = ByteArray(0)
     }
 }
--- /dev/null
+++ b/src/main/kotlin/umberslip/store/HttpKeyValueStore.kt
@@ -0,0 +1,158 @@
+package umberslip.store
+
+import io.netty.handler.codec.http.HttpMethod
+import umberslip.http.HttpClient
+import umberslip.http.MalformedMessageException
+import umberslip.http.NoResponseException
+import umberslip.http.RateLimitedException
+import umberslip.http.Reply
+import umberslip.http.ServiceUnavailableException
+import kotlin.time.Duration
+import kotlin.time.Duration.Companion.milliseconds
+
+/** The key-value store over HTTP. All requests keep to the rate limit of [requests]; leases never wait for it. */
+class HttpKeyValueStore(
+    private val http: HttpClient,
+    private val requests: RateLimiter,
+) : KeyValueStore {
+    override suspend fun get(key: String): Entry? {
+        requests.take(1, urgent = false)
+        return fetch(key)
+    }
+
+    override suspend fun lookUp(key: String): Entry? {
+        if (!requests.takeSpare(1, LOOK_UP_PATIENCE)) {
+            throw ServiceUnavailableException("no request to the key-value store to spare for a look-up")
+        }
+        return fetch(key)
+    }
+
+    private suspend fun fetch(key: String): Entry? {
+        val reply = send(HttpMethod.GET, "${KeyValueStoreProtocol.KEYS_PATH}/$key", null)
+        return when (reply.status) {
+            200 -> KeyValueStoreProtocol.entry(reply.fields())
+            404 -> null
+            else -> refused(reply)
+        }
+    }
+
+    override suspend fun list(
+        prefix: String,
+        after: String?,
+    ): Page {
+        val from = if (after == null) "" else "&${KeyValueStoreProtocol.AFTER}=$after"
+        val query = "${KeyValueStoreProtocol.PREFIX}=$prefix$from&${KeyValueStoreProtocol.PAGE_SIZE}=$PAGE_ENTRIES"
+        val reply = call(HttpMethod.GET, "${KeyValueStoreProtocol.KEYS_PATH}?$query", null)
+        if (reply.status != 200) refused(reply)
+        val fields = reply.fields()
+        return Page(
+            entries = fields.maps(KeyValueStoreProtocol.ENTRIES).map(KeyValueStoreProtocol::entry),
+            more = fields.flag(KeyValueStoreProtocol.HAS_MORE),
+            revision = fields.long(KeyValueStoreProtocol.REVISION),
+        )
+    }
+
+    override suspend fun changes(
+        prefix: String,
+        after: Long,
+    ): Changes? {
+        // The response comes at once, also where nothing changed: the caller decides when to ask again.
+        val query =
+            "${KeyValueStoreProtocol.PREFIX}=$prefix&${KeyValueStoreProtocol.AFTER}=$after&" +
+                "${KeyValueStoreProtocol.WAIT_MILLIS}=0"
+        val reply = call(HttpMethod.GET, "${KeyValueStoreProtocol.CHANGES_PATH}?$query", null)
+        if (reply.status == 410) return null
+        if (reply.status != 200) refused(reply)
+        val fields = reply.fields()
+        val changes = fields.maps(KeyValueStoreProtocol.EVENTS).map(KeyValueStoreProtocol::change)
+        return Changes(fields.long(KeyValueStoreProtocol.REVISION), changes)
+    }
+
+    override suspend fun compareAndSwap(
+        preconditions: List<Precondition>,
+        writes: List<Write>,
+    ): TransactionResult {
+        val body =
+            mapOf(
+                KeyValueStoreProtocol.PRECONDITIONS to preconditions.map(KeyValueStoreProtocol::precondition),
+                KeyValueStoreProtocol.WRITES to writes.map(KeyValueStoreProtocol::write),
+            )
+        val reply = call(HttpMethod.POST, KeyValueStoreProtocol.TRANSACTION_PATH, body)
+        return when (reply.status) {
+            200 -> TransactionResult.Applied(Version(reply.fields().long(KeyValueStoreProtocol.REVISION)))
+            409 -> {
+                val failed = reply.fields().textsOrNull(KeyValueStoreProtocol.FAILED_KEYS)
+                TransactionResult.PreconditionFailed(failed.orEmpty())
+            }
+            400 -> rejected(reply)
+            else -> refused(reply)
+        }
+    }
+
+    private fun rejected(reply: Reply): TransactionResult {
+        val error = reply.fields().textOrNull(KeyValueStoreProtocol.ERROR)
+        if (error == KeyValueStoreProtocol.NO_SUCH_LEASE) return TransactionResult.LeaseExpired
+        return TransactionResult.Rejected("${reply.body}")
+    }
+
+    override suspend fun openLease(ttl: Duration): StoreLease {
+        val body = mapOf(KeyValueStoreProtocol.TTL_MILLIS to ttl.inWholeMilliseconds)
+        val reply = call(HttpMethod.POST, KeyValueStoreProtocol.LEASES_PATH, body, urgent = true)
+        if (reply.status != 200) refused(reply)
+        return StoreLease(reply.fields().long(KeyValueStoreProtocol.LEASE))
+    }
+
+    override suspend fun renew(lease: StoreLease): Boolean {
+        val path = "${path(lease)}/${KeyValueStoreProtocol.RENEW}"
+        val reply = call(HttpMethod.POST, path, emptyMap<String, Any?>(), urgent = true)
+        return when (reply.status) {
+            200 -> true
+            404 -> false
+            else -> refused(reply)
+        }
+    }
+
+    override suspend fun endLease(lease: StoreLease) {
+        val reply = call(HttpMethod.DELETE, path(lease), null, urgent = true)
+        if (reply.status != 200 && reply.status != 404) refused(reply)
+    }
+
+    private fun path(lease: StoreLease) = "${KeyValueStoreProtocol.LEASES_PATH}/${lease.id}"
+
+    private suspend fun call(
+        method: HttpMethod,
+        path: String,
+        body: Any?,
+        urgent: Boolean = false,
+    ): Reply {
+        requests.take(1, urgent)
+        return send(method, path, body)
+    }
+
+    private suspend fun send(
+        method: HttpMethod,
+        path: String,
+        body: Any?,
+    ): Reply =
+        try {
+            http.call(method, path, body, TIMEOUT)
+        } catch (e: MalformedMessageException) {
+            throw NoResponseException("key-value store: ${e.message}")
+        }
+
+    private fun refused(reply: Reply): Nothing {
+        val what = "key-value store responded ${reply.status} ${reply.body}"
+        if (reply.status != 429) throw ServiceUnavailableException(what)
+        requests.lower()
+        throw RateLimitedException(what)
+    }
+
+    private companion object {
+        /** Half of what the protocol allows in a response. */
+        const val PAGE_ENTRIES = 500
+        val TIMEOUT = 1000.milliseconds
+
+        /** Users wait 2 s for the response to a request. */
+        val LOOK_UP_PATIENCE = 500.milliseconds
+    }
+}
