--- /dev/null
+++ b/src/main/kotlin/umberslip/api/JobStatus.kt
@@ -0,0 +1,71 @@
+package umberslip.api
+
+import umberslip.core.JobId
+import umberslip.http.Response
+import umberslip.records.JobOutcome
+import umberslip.records.OutcomeRecord
+import umberslip.records.Progress
+
+/** The status of a job as users see it. */
+internal sealed interface JobStatus {
+    /** No such job was ever accepted. */
+    data object Unknown : JobStatus
+
+    data class Unfinished(
+        val progress: Progress,
+    ) : JobStatus
+
+    /** Final: no later response to any user may say otherwise. */
+    data class Finished(
+        val outcome: OutcomeRecord,
+    ) : JobStatus
+}
+
+/** The responses of the users' API, and the only place that has its names. */
+internal object JobResponses {
+    private const val ID = "uid"
+    private const val STATUS = "status"
+    private const val DONE_TASKS = "done"
+    private const val RUNNING_TASKS = "running"
+
+    private const val QUEUED = "queued"
+    private const val RUNNING = "running"
+    private const val DONE = "done"
+    private const val CANCELLED = "aborted"
+
+    fun status(
+        id: JobId,
+        status: JobStatus,
+    ): Response =
+        when (status) {
+            JobStatus.Unknown -> Response.error(404, "no such job")
+            is JobStatus.Unfinished -> {
+                val (done, running) = status.progress
+                status(id, if (running > 0) RUNNING else QUEUED, done, running)
+            }
+            is JobStatus.Finished ->
+                when (status.outcome.end) {
+                    JobOutcome.DONE -> status(id, DONE, doneTasks = status.outcome.tasks)
+                    JobOutcome.CANCELLED -> status(id, CANCELLED)
+                }
+        }
+
+    private fun status(
+        id: JobId,
+        word: String,
+        doneTasks: Int = 0,
+        runningTasks: Int = 0,
+    ) = Response(200, mapOf(ID to id.value, STATUS to word, DONE_TASKS to doneTasks, RUNNING_TASKS to runningTasks))
+
+    /** A job was accepted, perhaps [cancelled] at once with one that it depends on. */
+    fun accepted(
+        id: JobId,
+        cancelled: Boolean,
+    ) = Response(201, mapOf(ID to id.value, STATUS to if (cancelled) CANCELLED else QUEUED))
+
+    /** The job's record would exceed the size limit of stored values. */
+    fun tooLarge() = Response.error(400, "the job's description is too large")
+
+    /** The job could never run. */
+    fun infeasible(why: String) = Response.error(422, why)
+}
--- /dev/null
+++ b/src/main/kotlin/umberslip/api/OutcomeCache.kt
@@ -0,0 +1,42 @@
+package umberslip.api
+
+import com.github.benmanes.caffeine.cache.Cache
+import com.github.benmanes.caffeine.cache.Caffeine
+import umberslip.core.JobId
+import umberslip.records.Keys
+import umberslip.records.OutcomeRecord
+import umberslip.store.KeyValueStore
+
+/** Outcomes of jobs, which never change, so that repeated requests need no read. Confined to the actors' thread. */
+internal class OutcomeCache(
+    private val store: KeyValueStore,
+) {
+    private val outcomes: Cache<JobId, OutcomeRecord> =
+        Caffeine
+            .newBuilder()
+            .maximumSize(MAX_OUTCOMES)
+            .executor(Runnable::run)
+            .build()
+
+    fun cached(id: JobId): OutcomeRecord? = outcomes.getIfPresent(id)
+
+    fun add(
+        id: JobId,
+        outcome: OutcomeRecord,
+    ) = outcomes.put(id, outcome)
+
+    /**
+     * Reads an outcome from the key-value store, where the cache may not have it yet; null where none is written.
+     *
+     * @throws umberslip.http.ServiceException where it could not be read
+     */
+    suspend fun read(id: JobId): OutcomeRecord? {
+        val entry = store.lookUp(Keys.outcome(id)) ?: return null
+        return OutcomeRecord.parse(entry.data).also { add(id, it) }
+    }
+
+    private companion object {
+        /** Bounds the memory that the cache takes; what is not in it is read again. */
+        const val MAX_OUTCOMES = 20_000L
+    }
+}
--- /dev/null
+++ b/src/main/kotlin/umberslip/api/SubmissionWriter.kt
@@ -0,0 +1,92 @@
+package umberslip.api
+
+import org.slf4j.Logger
+import umberslip.http.NoResponseException
+import umberslip.http.RateLimitedException
+import umberslip.http.ServiceUnavailableException
+import umberslip.records.Keys
+import umberslip.store.KeyValueStore
+import umberslip.store.Precondition
+import umberslip.store.RateLimiter
+import umberslip.store.TransactionResult
+import umberslip.store.Version
+import umberslip.store.Write
+
+/** Writes batches of submissions, each in one transaction. */
+internal class SubmissionWriter(
+    private val store: KeyValueStore,
+    private val writes: RateLimiter,
+    private val announce: () -> Unit,
+    private val log: Logger,
+) {
+    /** Creates the records of [batch] and completes all results. Jobs that were accepted before are left out. */
+    suspend fun write(batch: List<PendingSubmission>) {
+        try {
+            create(batch)
+        } finally {
+            batch.forEach { it.result.complete(SubmissionResult.UNCONFIRMED) }
+        }
+    }
+
+    private suspend fun create(batch: List<PendingSubmission>) {
+        // Of submissions of the same job, only the first is written; the others stay unconfirmed.
+        var remaining = batch.distinctBy { it.id }
+        (batch - remaining.toSet()).forEach { it.result.complete(SubmissionResult.UNCONFIRMED) }
+        while (remaining.isNotEmpty()) {
+            writes.take(remaining.size, urgent = false)
+            val result = compareAndSwap(remaining) ?: return
+            if (result !is TransactionResult.PreconditionFailed) {
+                completed(remaining, result)
+                return
+            }
+            val (known, unknown) = remaining.partition { isKnown(it, result) }
+            if (known.isEmpty()) return
+            known.forEach { it.result.complete(SubmissionResult.KNOWN) }
+            remaining = unknown
+        }
+    }
+
+    private fun completed(
+        submissions: List<PendingSubmission>,
+        result: TransactionResult,
+    ) {
+        when (result) {
+            is TransactionResult.Applied -> {
+                submissions.forEach { it.result.complete(SubmissionResult.CREATED) }
+                announce()
+            }
+            is TransactionResult.Rejected -> {
+                log.error("submissions rejected: jobs={} reason={}", submissions.size, result.why)
+            }
+            is TransactionResult.PreconditionFailed, TransactionResult.LeaseExpired -> Unit
+        }
+    }
+
+    private fun isKnown(
+        submission: PendingSubmission,
+        result: TransactionResult.PreconditionFailed,
+    ): Boolean = Keys.job(submission.id) in result.failed || Keys.outcome(submission.id) in result.failed
+
+    /** Null where the request failed. */
+    private suspend fun compareAndSwap(submissions: List<PendingSubmission>): TransactionResult? =
+        try {
+            store.compareAndSwap(
+                preconditions =
+                    submissions.flatMap {
+                        listOf(
+                            Precondition(Keys.job(it.id), Version.NONE),
+                            Precondition(Keys.outcome(it.id), Version.NONE),
+                        )
+                    },
+                writes = submissions.map { Write.Put(Keys.job(it.id), it.record.toMap()) },
+            )
+        } catch (e: ServiceUnavailableException) {
+            if (e is RateLimitedException) writes.lower()
+            log.debug("submissions not written: jobs={} reason={}", submissions.size, e.message)
+            null
+        } catch (e: NoResponseException) {
+            // Accepted or not: the user's retry shows which.
+            log.info("outcome of submissions is indeterminate: jobs={} reason={}", submissions.size, e.message)
+            null
+        }
+}
