--- /dev/null
+++ b/src/test/kotlin/umberslip/records/RecordFixtures.kt
@@ -0,0 +1,26 @@
+package umberslip.records
+
+import io.kotest.property.PropTestConfig
+import umberslip.core.MachineName
+import umberslip.http.Documents
+import kotlin.random.Random
+
+/** What the tests of records share. */
+internal object RecordFixtures {
+    val config = PropTestConfig(seed = 99, iterations = 200)
+
+    /** A record as it comes back from the key-value store. */
+    fun wire(record: Map<String, Any?>): Any? = Documents.readCbor(Documents.writeCbor(record))
+
+    fun placements(
+        random: Random,
+        from: Int,
+        count: Int,
+    ) = List(count) {
+        Placement(
+            from + it,
+            random.nextLong(1, 1L shl 40),
+            MachineName("host-%06d".format(random.nextInt(1_000_000))),
+        )
+    }
+}
--- /dev/null
+++ b/src/test/kotlin/umberslip/records/RecordReplicaTest.kt
@@ -0,0 +1,110 @@
+package umberslip.records
+
+import io.kotest.property.Arb
+import io.kotest.property.arbitrary.long
+import io.kotest.property.checkAll
+import kotlinx.coroutines.runBlocking
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Test
+import umberslip.core.MachineName
+import umberslip.core.Term
+import umberslip.sim.Fixtures
+import umberslip.store.Change
+import umberslip.store.Entry
+import umberslip.store.StoreLease
+import umberslip.store.Version
+import java.time.Instant
+import kotlin.random.Random
+
+class RecordReplicaTest {
+    @Test
+    fun `the replica shows the newest versions whatever changes are repeated`() =
+        runBlocking<Unit> {
+            val specs = List(4) { Fixtures.job(Random(it), it) }
+            checkAll(RecordFixtures.config, Arb.long()) { seed ->
+                val random = Random(seed)
+                val last = HashMap<String, Change>()
+                val all = ArrayList<Change>()
+                for (version in 1L..40L) {
+                    val spec = specs[random.nextInt(specs.size)]
+                    val key = Keys.job(spec.id)
+                    val change =
+                        if (last[key] is Change.Put && random.nextInt(3) == 0) {
+                            Change.Drop(key, Version(version))
+                        } else {
+                            Change.Put(
+                                key,
+                                RecordFixtures.wire(JobRecord(spec, Instant.EPOCH, random.nextBoolean()).toMap()),
+                                Version(version),
+                            )
+                        }
+                    last[key] = change
+                    all += change
+                }
+                val replica = RecordReplica()
+                // Every change once in order, with older ones seen again in between.
+                all.forEachIndexed { i, change ->
+                    replica.apply(change)
+                    val old = all[random.nextInt(i + 1)]
+                    if (old is Change.Drop) replica.apply(old)
+                }
+                val newest =
+                    last.values
+                        .filterIsInstance<Change.Put>()
+                        .map { it.version }
+                        .toSet()
+                assertEquals(
+                    newest,
+                    replica
+                        .jobs()
+                        .values
+                        .map { it.version }
+                        .toSet(),
+                )
+                // Reading everything again gives the same.
+                val reread = RecordReplica()
+                reread.apply(all.first())
+                reread.replace(last.values.filterIsInstance<Change.Put>().map { Entry(it.key, it.data, it.version) })
+                assertEquals(
+                    newest,
+                    reread
+                        .jobs()
+                        .values
+                        .map { it.version }
+                        .toSet(),
+                )
+            }
+        }
+
+    @Test
+    fun `progress counts a task once however many log entries repeat its start`() {
+        val spec = Fixtures.job(Random(3), 3).copy(tasks = 5)
+        val replica = RecordReplica()
+        replica.apply(Change.Put(Keys.job(spec.id), RecordFixtures.wire(JobRecord(spec, Instant.EPOCH, false).toMap()), Version(1)))
+
+        fun log(
+            slot: Int,
+            seq: Long,
+            row: LogRow,
+        ) = replica.apply(Change.Put(Keys.log(slot), RecordFixtures.wire(LogRecord(seq, mapOf(spec.id to row)).toMap()), Version(seq)))
+        val first = Placement(0, 1, MachineName("a"))
+        val second = Placement(1, 2, MachineName("a"))
+        log(7, 10, LogRow(listOf(first, second), emptyList()))
+        assertEquals(Progress(0, 2), replica.progress(spec.id))
+        log(3, 11, LogRow(listOf(first), listOf(LoggedExit(1, 2, true))))
+        assertEquals(Progress(1, 1), replica.progress(spec.id))
+        log(4, 12, LogRow(listOf(Placement(2, 3, MachineName("b"))), listOf(LoggedExit(1, 0, true), LoggedExit(0, 1, false))))
+        assertEquals(Progress(1, 1), replica.progress(spec.id))
+    }
+
+    @Test
+    fun `a malformed record is left alone and its neighbours are read`() {
+        val spec = Fixtures.job(Random(3), 3)
+        val replica = RecordReplica()
+        replica.apply(Change.Put("u/job/run-000001", mapOf("spec" to 5L), Version(1)))
+        replica.apply(Change.Put(Keys.job(spec.id), RecordFixtures.wire(JobRecord(spec, Instant.EPOCH, false).toMap()), Version(2)))
+        replica.apply(Change.Put(Keys.LEADER, RecordFixtures.wire(LeaderRecord("c-1", Term(4), StoreLease(9)).toMap()), Version(3)))
+        assertEquals(setOf(spec.id), replica.jobs().keys)
+        assertEquals(LeaderRecord("c-1", Term(4), StoreLease(9)), replica.leader?.value)
+    }
+}
