--- /dev/null
+++ b/src/main/kotlin/umberslip/provisioning/BootingMachines.kt
@@ -0,0 +1,104 @@
+package umberslip.provisioning
+
+import org.slf4j.Logger
+import umberslip.cloud.InstanceType
+import umberslip.core.Clock
+import umberslip.core.MachineName
+import umberslip.http.MalformedMessageException
+import umberslip.http.NoResponseException
+import umberslip.http.ServiceUnavailableException
+import umberslip.leaderElection.LeaderLease
+import umberslip.records.Keys
+import umberslip.scheduling.MachineSnapshot
+import umberslip.settings.Settings
+import umberslip.store.KeyValueStore
+import umberslip.store.Precondition
+import umberslip.store.Write
+import java.time.Instant
+import kotlin.time.Duration
+import kotlin.time.Duration.Companion.seconds
+
+/**
+ * The machines that were provisioned and have not sent a heartbeat yet, in memory and as a record in the key-value
+ * store. The record is a hint for the next leader, so that it does not provision for the same need again; one that is
+ * old or lost costs machines for a short time, never work.
+ */
+internal class BootingMachines(
+    private val settings: Settings,
+    private val store: KeyValueStore,
+    private val leaderLease: LeaderLease,
+    private val clock: Clock,
+    private val wallClock: () -> Instant,
+    private val log: Logger,
+) {
+    private val machines = LinkedHashMap<MachineName, BootingMachine>()
+    private var persisted: Set<MachineName> = emptySet()
+    private var persistedAt = Duration.ZERO
+
+    /** A copy, in the order in which the machines were added. */
+    fun all(): List<BootingMachine> = machines.values.toList()
+
+    fun cpus(instanceTypes: Map<String, InstanceType>): Double = machines.values.sumOf { instanceTypes[it.offer.type]?.cpus ?: 0.0 }
+
+    operator fun contains(name: MachineName): Boolean = name in machines
+
+    fun add(machine: BootingMachine) {
+        machines[machine.name] = machine
+    }
+
+    fun remove(name: MachineName) {
+        machines.remove(name)
+    }
+
+    fun removeAll(condition: (BootingMachine) -> Boolean) {
+        machines.values.removeAll(condition)
+    }
+
+    fun removeInContact(snapshot: List<MachineSnapshot>) {
+        for (machine in snapshot) if (machine.sinceContact != null) machines.remove(machine.name)
+    }
+
+    /** The cloud lists the machine as running; its first heartbeat is still to come. */
+    fun markRunning(name: MachineName) {
+        machines.computeIfPresent(name) { _, machine -> machine.copy(isRunning = true) }
+    }
+
+    /** Begins a leader's term with what its predecessor persisted; [record] is null where there is none. */
+    fun restore(record: Any?) {
+        machines.clear()
+        if (record == null) return
+        try {
+            BootingMachinesCodec.decode(record, clock.now(), wallClock().toEpochMilli()).forEach(::add)
+        } catch (e: MalformedMessageException) {
+            log.error("record of booting machines unreadable: key={} reason={}", Keys.BOOTING_MACHINES, e.message)
+        }
+    }
+
+    suspend fun persistIfChanged(now: Duration) {
+        if (machines.keys != persisted && now - persistedAt > PERSIST_INTERVAL) persist()
+    }
+
+    /** Writes as many machines as one value holds. A write that fails is not repeated before the next change. */
+    suspend fun persist() {
+        val version = leaderLease.version ?: return
+        persisted = machines.keys.toSet()
+        persistedAt = clock.now()
+        val epochMillis = wallClock().toEpochMilli() - persistedAt.inWholeMilliseconds
+        val record = BootingMachinesCodec.encode(machines.values, epochMillis, settings.storeLimits.valueBytes)
+        try {
+            store.compareAndSwap(
+                listOf(Precondition(Keys.LEADER, version)),
+                listOf(Write.Put(Keys.BOOTING_MACHINES, record)),
+            )
+        } catch (e: ServiceUnavailableException) {
+            log.debug("booting machines not persisted: reason={}", e.message)
+        } catch (e: NoResponseException) {
+            log.debug("booting machines perhaps not persisted: reason={}", e.message)
+        }
+    }
+
+    private companion object {
+        /** Changes within this time are written together. */
+        val PERSIST_INTERVAL = 3.seconds
+    }
+}
--- a/src/main/kotlin/umberslip/provisioning/CapacityPlanner.kt
+++ b/src/main/kotlin/umberslip/provisioning/CapacityPlanner.kt
@@ -2,283 +2,183 @@
 
 import umberslip.cloud.InstanceType
 import umberslip.cloud.Offer
-import umberslip.core.MachineName
-import umberslip.core.Resources
 import umberslip.scheduling.ClusterSnapshot
-import umberslip.scheduling.MachineSnapshot
 import umberslip.scheduling.PendingWork
 import umberslip.scheduling.PlacementConstraint
 import umberslip.settings.Tuning
 import kotlin.math.ceil
-import kotlin.time.Duration
-import kotlin.time.Duration.Companion.seconds
-import kotlin.time.DurationUnit
-
-/** A machine that was rented and has not reported yet; [up] once the cloud lists it as running. */
-data class BootingMachine(
-    val name: MachineName,
-    val offer: Offer,
-    val since: Duration,
-    val up: Boolean = false,
-)
-
-data class ProvisioningRequest(
-    val offer: Offer,
-    val number: Int,
-)
-
-class CapacityPlan(
-    val rent: List<ProvisioningRequest>,
-    val unneeded: Set<MachineName>,
-)
 
 /**
- * How many machines of which kind: enough to get the known work done within the drain time, filled
- * from the cheapest capacity up, whether that is rented already or only could be. Pure.
+ * Plans how many machines of which kind there should be: enough to get the known work done within the drain time,
+ * filled from the cheapest capacity up, whether that exists already or only could be provisioned. Pure.
  */
 class CapacityPlanner(
     tuning: Tuning,
 ) {
-    // In seconds: a plan divides by them for every task that runs.
-    private val drain = tuning.drain.toDouble(DurationUnit.SECONDS)
-    private val boot = tuning.boot.toDouble(DurationUnit.SECONDS)
-
-    private class Supply(
-        val offer: Offer,
-        val resources: Resources,
-        val price: Double,
-        val name: MachineName?,
-        val up: Boolean,
-        var left: Double,
-        var used: Boolean = false,
-    ) {
-        /** Waiting work was planned for it. */
-        var claimed = false
-    }
+    private val demand = DemandModel(tuning)
+    private val surplus = Surplus(demand)
 
+    /** [isBackedOff] says which offers are not to be requested at present. */
     fun plan(
-        view: ClusterSnapshot,
+        snapshot: ClusterSnapshot,
         booting: List<BootingMachine>,
         instanceTypes: Map<String, InstanceType>,
-        shut: (Offer) -> Boolean,
-    ): CapacityPlan = Planning(view, instanceTypes, shut).plan(booting)
+        isBackedOff: (Offer) -> Boolean,
+    ): CapacityPlan = Planning(snapshot, booting, instanceTypes, isBackedOff).plan()
 
     /** One plan in the making: the capacity that there is or could be, and how much of it is still free. */
     private inner class Planning(
-        private val view: ClusterSnapshot,
+        private val snapshot: ClusterSnapshot,
+        booting: List<BootingMachine>,
         private val instanceTypes: Map<String, InstanceType>,
-        shut: (Offer) -> Boolean,
+        isBackedOff: (Offer) -> Boolean,
     ) {
-        private val supply = ArrayList<Supply>()
-
-        /** Processors that the tasks on a machine keep busy over the drain time. */
-        private val running = HashMap<MachineName, Double>()
-        private val rent = LinkedHashMap<Offer, Int>()
+        private val prices = Prices(instanceTypes)
+        private val existing = ExistingSupply(demand, instanceTypes, prices).also { it.add(snapshot, booting) }
+        private val supply = ArrayList(existing.machines)
+        private val requests = LinkedHashMap<Offer, Int>()
 
-        /** What the cloud rents at present, the cheapest first. */
+        /** What the cloud provisions at present, the cheapest first. */
         private val offers =
             instanceTypes.values
-                .flatMap { f -> f.zones.flatMap { z -> listOf(Offer(f.label, z, true), Offer(f.label, z, false)) } }
-                .filter { !shut(it) }
-                .sortedBy(::price)
+                .flatMap(::offersOf)
+                .filter { !isBackedOff(it) }
+                .sortedBy(prices::perCpu)
 
-        fun plan(booting: List<BootingMachine>): CapacityPlan {
-            view.machines.forEach(::addMachine)
-            booting.forEach(::addBooting)
+        private fun offersOf(instanceType: InstanceType): List<Offer> =
+            instanceType.zones.flatMap { zone ->
+                listOf(true, false).map { spot -> Offer(instanceType.label, zone, spot) }
+            }
+
+        fun plan(): CapacityPlan {
             // The most constrained work chooses first.
             val groups =
-                view.waiting
+                snapshot.waiting
                     .groupBy { it.where }
                     .entries
-                    .sortedBy { (where, _) -> offers.count(where::allows) }
-            for ((where, works) in groups) supply(where, works)
-            return CapacityPlan(rent.map { (offer, number) -> ProvisioningRequest(offer, number) }, unneeded(view, supply, running))
-        }
-
-        private fun price(offer: Offer): Double {
-            val instanceType = instanceTypes[offer.type] ?: return Double.MAX_VALUE
-            val price = if (offer.spot) instanceType.spotPrice else instanceType.price
-            return price / instanceType.cpus.coerceAtLeast(LEAST_CPUS)
-        }
-
-        private fun addMachine(machine: MachineSnapshot) {
-            val resources = machine.capacity ?: return
-            if (machine.isQuarantined || machine.interruptedIn != null) return
-            if (machine.sinceContact == null || machine.sinceContact > SILENT) return
-            running[machine.name] = machine.running.sumOf { need(it.resources, it.seconds, resources, drain) }
-            val need = machine.running.sumOf { need(it.resources, it.seconds, resources, drain + boot) }
-            val left = (resources.cpus - need).coerceAtLeast(0.0)
-            supply += Supply(machine.offer, resources, price(machine.offer), machine.name, true, left, need > 0)
-        }
-
-        private fun addBooting(machine: BootingMachine) {
-            val instanceType = instanceTypes[machine.offer.type] ?: return
-            supply += Supply(machine.offer, instanceType.resources, price(machine.offer), machine.name, false, instanceType.cpus)
+                    .sortedBy { (constraint, _) -> offers.count(constraint::allows) }
+            for ((constraint, work) in groups) provide(constraint, work)
+            return CapacityPlan(
+                requests.map { (offer, number) -> ProvisioningRequest(offer, number) },
+                surplus.of(supply, existing.busyCpus, snapshot.waiting),
+            )
         }
 
         /** Finds capacity for the work that may go to the same machines. */
-        private fun supply(
-            where: PlacementConstraint,
-            works: List<PendingWork>,
+        private fun provide(
+            constraint: PlacementConstraint,
+            work: List<PendingWork>,
         ) {
-            val allowed = offers.filter(where::allows)
-            val dearFrom = (allowed.minOfOrNull(::price) ?: Double.MAX_VALUE) * DEAR
-            // Up machines are filled first, the fullest of the cheapest; then those that boot.
-            val existing =
-                supply
-                    .filter { where.allows(it.offer) && it.left > 0 }
-                    .sortedWith(compareBy({ !it.up }, { !it.used }, { it.price }))
-            val (dearSupply, cheapSupply) = existing.partition { it.price > dearFrom }
-            var open = works.map { it to it.tasks.toDouble() }
-            open = fill(open, cheapSupply, dear = false)
-            var dear = false
+            val allowed = offers.filter(constraint::allows)
+            val cheapest = allowed.minOfOrNull(prices::perCpu) ?: Double.MAX_VALUE
+            val expensiveAbove = cheapest * EXPENSIVE
+            val (expensiveSupply, cheapSupply) = usable(constraint).partition { it.pricePerCpu > expensiveAbove }
+            var open = fill(work.map { OpenDemand(it, it.tasks.toDouble()) }, cheapSupply, isExpensive = false)
+            var isExpensive = false
             for (offer in allowed) {
                 if (open.isEmpty()) break
-                if (!dear && price(offer) > dearFrom) {
-                    // Dear ones that are up serve before more are rented.
-                    dear = true
-                    open = fill(open, dearSupply, dear = true)
+                if (!isExpensive && prices.perCpu(offer) > expensiveAbove) {
+                    // Expensive machines that are up serve before more are provisioned.
+                    isExpensive = true
+                    open = fill(open, expensiveSupply, isExpensive = true)
                 }
-                open = rent(offer, open, dear)
+                open = provision(offer, open, isExpensive)
             }
-            if (!dear) open = fill(open, dearSupply, dear = true)
-            if (open.isNotEmpty()) rentOneIfNone(where, open)
+            if (!isExpensive) open = fill(open, expensiveSupply, isExpensive = true)
+            if (open.isNotEmpty()) provisionOneIfNone(constraint, open)
         }
 
-        /** Rents as many of an offer as the open work fills; answered with what is still open. */
-        private fun rent(
+        /** In the order of use: machines that are up, used ones and the cheapest first; then those that boot. */
+        private fun usable(constraint: PlacementConstraint): List<Supply> =
+            supply
+                .filter { constraint.allows(it.offer) && it.freeCpus > 0 }
+                .sortedWith(compareBy({ !it.isUp }, { !it.isUsed }, { it.pricePerCpu }))
+
+        /** Requests as many machines of an offer as the open demand fills; returns the demand that is still open. */
+        private fun provision(
             offer: Offer,
-            open: List<Pair<PendingWork, Double>>,
-            dear: Boolean,
-        ): List<Pair<PendingWork, Double>> {
+            open: List<OpenDemand>,
+            isExpensive: Boolean,
+        ): List<OpenDemand> {
             val instanceType = instanceTypes.getValue(offer.type)
             val resources = instanceType.resources
-            val fitting =
-                open.filter { resources.covers(it.first.resources) }.sumOf { (work, tasks) ->
-                    tasks * share(work.resources, work.seconds, horizon(work, false, dear))
+            val fittingCpus =
+                open.filter { resources.covers(it.work.resources) }.sumOf {
+                    val horizon = demand.horizonSeconds(it.work, isUp = false, isExpensive)
+                    it.tasks * demand.busyCpus(it.work.resources, it.work.seconds, horizon)
                 }
-            if (fitting < instanceType.cpus * WORTH) return open
-            val number = ceil(fitting / instanceType.cpus - WORTH).toInt().coerceIn(1, MAX_RENT)
-            rent.merge(offer, number, Int::plus)
-            val rented = List(number) { Supply(offer, resources, price(offer), null, false, instanceType.cpus) }
-            supply += rented
-            return fill(open, rented, dear)
+            if (fittingCpus < instanceType.cpus * MIN_UTILIZATION) return open
+            val number = ceil(fittingCpus / instanceType.cpus - MIN_UTILIZATION).toInt().coerceIn(1, MAX_PER_REQUEST)
+            requests.merge(offer, number, Int::plus)
+            val price = prices.perCpu(offer)
+            val added =
+                List(number) {
+                    Supply(offer, resources, price, machineName = null, isUp = false, freeCpus = instanceType.cpus)
+                }
+            supply += added
+            return fill(open, added, isExpensive)
         }
 
         /** What is left is too little for a machine of its own, unless there is none at all. */
-        private fun rentOneIfNone(
-            where: PlacementConstraint,
-            open: List<Pair<PendingWork, Double>>,
+        private fun provisionOneIfNone(
+            constraint: PlacementConstraint,
+            open: List<OpenDemand>,
         ) {
-            if (supply.any { where.allows(it.offer) && it.used }) return
+            if (supply.any { constraint.allows(it.offer) && it.isUsed }) return
             val offer =
                 offers.firstOrNull { offer ->
                     val resources = instanceTypes.getValue(offer.type).resources
-                    where.allows(offer) && open.any { resources.covers(it.first.resources) }
+                    constraint.allows(offer) && open.any { resources.covers(it.work.resources) }
                 }
-            if (offer != null) rent.merge(offer, 1, Int::plus)
+            if (offer != null) requests.merge(offer, 1, Int::plus)
         }
     }
 
-    /**
-     * Up machines that no waiting work was planned for, dearest first: those with nothing on them,
-     * and others as long as the rest can take what runs and waits.
-     */
-    private fun unneeded(
-        view: ClusterSnapshot,
-        supply: List<Supply>,
-        running: Map<MachineName, Double>,
-    ): Set<MachineName> {
-        val up = supply.filter { it.up }
-        val waiting = view.waiting.sumOf { it.tasks * share(it.resources, it.seconds, drain) }
-        var slack = up.sumOf { it.resources.cpus } - running.values.sum() - waiting
-        val out = HashSet<MachineName>()
-        for (s in up.sortedWith(compareBy({ -it.price }, { running[it.name] ?: 0.0 }))) {
-            val name = s.name ?: continue
-            if (s.claimed) continue
-            // An empty machine that none of the waiting work was planned for cannot help it.
-            if (s.used && slack < s.resources.cpus * KEEP_SLACK) continue
-            slack -= s.resources.cpus
-            out += name
-        }
-        return out
-    }
-
-    /** Puts tasks on machines; what finds no room is left. */
+    /** Plans tasks for [machines] in this order; returns the demand that does not fit. */
     private fun fill(
-        open: List<Pair<PendingWork, Double>>,
-        supply: List<Supply>,
-        dear: Boolean,
-    ): List<Pair<PendingWork, Double>> {
-        val left = ArrayList<Pair<PendingWork, Double>>()
-        for ((work, tasks) in open) {
-            var rest = tasks
-            for (s in supply) {
-                if (rest <= 0) break
-                if (s.left <= 0 || !s.resources.covers(work.resources)) continue
-                val each = share(work.resources, work.seconds, horizon(work, s.up, dear)) * weight(work.resources, s.resources)
-                val taken = minOf(s.left, rest * each)
-                s.left -= taken
-                s.used = true
-                s.claimed = true
-                rest -= taken / each
-            }
-            if (rest > NEGLIGIBLE) left += work to rest
+        open: List<OpenDemand>,
+        machines: List<Supply>,
+        isExpensive: Boolean,
+    ): List<OpenDemand> {
+        val stillOpen = ArrayList<OpenDemand>()
+        for (openDemand in open) {
+            val tasksLeft = fill(openDemand, machines, isExpensive)
+            if (tasksLeft > NEGLIGIBLE) stillOpen += OpenDemand(openDemand.work, tasksLeft)
         }
-        return left
+        return stillOpen
     }
 
-    /**
-     * The time within which machines should get work done. Those that are up work on while others
-     * would still boot; and what can wait for a cheap machine is not worth a dear one.
-     */
-    private fun horizon(
-        work: PendingWork,
-        up: Boolean,
-        dear: Boolean,
-    ): Double {
-        val time = if (up) drain + boot else drain
-        return if (dear) maxOf(time, work.slack.toDouble(DurationUnit.SECONDS) * PATIENCE) else time
-    }
-
-    /** Processors that a task keeps busy over that time. */
-    private fun share(
-        task: Resources,
-        seconds: Double,
-        horizon: Double,
-    ): Double = task.cpus.coerceAtLeast(LEAST_CPUS) * minOf(1.0, seconds / horizon)
-
-    /** Memory counts as the processors that it blocks. */
-    private fun weight(
-        task: Resources,
-        machine: Resources,
+    /** The tasks that do not fit. */
+    private fun fill(
+        open: OpenDemand,
+        machines: List<Supply>,
+        isExpensive: Boolean,
     ): Double {
-        val byMemory = if (machine.memoryGb > 0) task.memoryGb / machine.memoryGb * machine.cpus else 0.0
-        return maxOf(1.0, byMemory / task.cpus.coerceAtLeast(LEAST_CPUS))
+        val work = open.work
+        var tasksLeft = open.tasks
+        for (machine in machines) {
+            if (tasksLeft <= 0) break
+            if (machine.freeCpus <= 0 || !machine.resources.covers(work.resources)) continue
+            val horizon = demand.horizonSeconds(work, machine.isUp, isExpensive)
+            val cpusPerTask = demand.blockedCpus(work.resources, work.seconds, machine.resources, horizon)
+            val cpus = minOf(machine.freeCpus, tasksLeft * cpusPerTask)
+            machine.take(cpus)
+            tasksLeft -= cpus / cpusPerTask
+        }
+        return tasksLeft
     }
 
-    private fun need(
-        task: Resources,
-        seconds: Double,
-        machine: Resources,
-        horizon: Double,
-    ): Double = share(task, seconds, horizon) * weight(task, machine)
-
     private companion object {
-        /** From this times the cheapest price on, a machine is dear: kept no longer than needed. */
-        const val DEAR = 1.5
+        /** From this times the cheapest price on, a machine is expensive: used no longer than needed. */
+        const val EXPENSIVE = 1.5
 
-        /** The share of a machine that must be needed before one more is rented. */
-        const val WORTH = 0.3
-        const val KEEP_SLACK = 1.15
+        /** The share of a machine that must be needed before one more is provisioned. */
+        const val MIN_UTILIZATION = 0.3
 
-        /** The part of its slack that work may take to get through on machines that are at hand. */
-        const val PATIENCE = 0.25
+        /** Fewer tasks than this are left by rounding alone. */
         const val NEGLIGIBLE = 1e-6
 
-        /** A task or type without processors still counts for something. */
-        const val LEAST_CPUS = 0.1
-        const val MAX_RENT = 50
-        val SILENT = 6.seconds
+        /** A request names no more machines; what is still missing shows in the next plan. */
+        const val MAX_PER_REQUEST = 50
     }
 }
--- /dev/null
+++ b/src/main/kotlin/umberslip/provisioning/MachineTermination.kt
@@ -0,0 +1,60 @@
+package umberslip.provisioning
+
+import kotlinx.coroutines.CompletableDeferred
+import org.slf4j.Logger
+import umberslip.cloud.Cloud
+import umberslip.core.MachineName
+import umberslip.scheduling.Leader
+import umberslip.scheduling.LeaderMessage
+
+/**
+ * Terminates machines at the cloud. The leader agrees first and gives them no more work; it learns of the end only once
+ * the cloud has confirmed it, and starts their tasks elsewhere then.
+ */
+internal class MachineTermination(
+    private val cloud: Cloud,
+    private val leader: Leader,
+    private val log: Logger,
+) {
+    private val pending = LinkedHashSet<MachineName>()
+    private val terminated = HashSet<MachineName>()
+
+    fun clear() {
+        pending.clear()
+        terminated.clear()
+    }
+
+    fun isPendingOrTerminated(name: MachineName): Boolean = name in pending || name in terminated
+
+    /** For a machine that the leader has given no work. */
+    fun enqueue(name: MachineName) {
+        pending += name
+    }
+
+    /** Enqueues those that the leader agrees to: without [evenIfBusy], those that have no tasks. */
+    suspend fun request(
+        names: List<MachineName>,
+        evenIfBusy: Boolean,
+    ) {
+        if (names.isEmpty()) return
+        val agreed = CompletableDeferred<List<MachineName>>()
+        val request = LeaderMessage.PrepareTermination(names.toSet(), evenIfBusy) { agreed.complete(it) }
+        if (leader.enqueue(request)) pending += agreed.await()
+    }
+
+    /** Terminates one batch; the rest and a batch that failed follow with the next call. */
+    suspend fun terminatePending() {
+        if (pending.isEmpty()) return
+        val names = pending.take(MAX_BATCH)
+        cloud.terminate(names)
+        log.info("machines terminated: machines={}", names.joinToString { it.value })
+        pending.removeAll(names.toSet())
+        terminated += names
+        leader.enqueue(LeaderMessage.Terminated(names))
+    }
+
+    private companion object {
+        /** The cloud takes no more machines in one request. */
+        const val MAX_BATCH = 100
+    }
+}
--- a/src/test/kotlin/umberslip/provisioning/CapacityPlannerTest.kt
+++ b/src/test/kotlin/umberslip/provisioning/CapacityPlannerTest.kt
@@ -47,8 +47,8 @@
     private fun plan(
         machines: List<MachineSnapshot>,
         waiting: List<PendingWork>,
-        shut: (Offer) -> Boolean = { false },
-    ) = planner.plan(ClusterSnapshot(machines, waiting), emptyList(), instanceTypes, shut)
+        isBackedOff: (Offer) -> Boolean = { false },
+    ) = planner.plan(ClusterSnapshot(machines, waiting), emptyList(), instanceTypes, isBackedOff)
 
     private fun work(
         tasks: Int,
@@ -57,16 +57,16 @@
     ) = PendingWork(where, Resources(2.0, 0.0, 2.0), tasks, 60.0, slack)
 
     @Test
-    fun `nothing waits, nothing is rented`() {
-        assertTrue(plan(emptyList(), emptyList()).rent.isEmpty())
+    fun `nothing is provisioned while nothing waits or the existing machines suffice`() {
+        assertTrue(plan(emptyList(), emptyList()).requests.isEmpty())
         assertTrue(
-            plan(listOf(machine("a", Offer("large", "east", true))), listOf(work(6))).rent.isEmpty(),
-            "there is room",
+            plan(listOf(machine("a", Offer("large", "east", true))), listOf(work(6))).requests.isEmpty(),
+            "the machine has enough free resources",
         )
     }
 
     @Test
-    fun `only allowed machines are rented, the cheapest first`() {
+    fun `only allowed machines are provisioned, the cheapest first`() {
         val random = Random(3)
         repeat(200) {
             val where =
@@ -75,41 +75,41 @@
                     listOf(null, "west")[random.nextInt(2)],
                     random.nextBoolean(),
                 )
-            val rent = plan(emptyList(), listOf(work(random.nextInt(1, 60), where))).rent
-            assertTrue(rent.isNotEmpty())
-            rent.forEach { assertTrue(where.allows(it.offer), "$where ${it.offer}") }
+            val requests = plan(emptyList(), listOf(work(random.nextInt(1, 60), where))).requests
+            assertTrue(requests.isNotEmpty())
+            requests.forEach { assertTrue(where.allows(it.offer), "$where ${it.offer}") }
         }
-        assertEquals(Offer("large", "east", true), plan(emptyList(), listOf(work(8))).rent.single().offer)
+        assertEquals(Offer("large", "east", true), plan(emptyList(), listOf(work(8))).requests.single().offer)
     }
 
     @Test
     fun `one small task is worth a machine when there is none for it`() {
-        // Found by the rules test: too little to fill a machine, it was never given one.
+        // Found by the rules test: work too small to fill a machine never got one.
         val tiny = PendingWork(PlacementConstraint(listOf("small"), null, false), Resources(0.5, 0.0, 0.5), 1, 2.0)
-        assertEquals(1, plan(listOf(machine("a", Offer("large", "east", true))), listOf(tiny)).rent.single().number)
+        assertEquals(1, plan(listOf(machine("a", Offer("large", "east", true))), listOf(tiny)).requests.single().number)
     }
 
     @Test
-    fun `the only machine that waiting work may use is not returned for the slack of others`() {
-        // Found by the rules test: the dearest machine went back although only it was allowed.
+    fun `the only machine that waiting work may use is not surplus when others have resources to spare`() {
+        // Found by the rules test: the most expensive machine was terminated although only it was allowed.
         val small = machine("s", Offer("small", "east", false))
         val large = machine("l", Offer("large", "east", true))
         val plan =
             plan(listOf(small, large), listOf(PendingWork(PlacementConstraint(listOf("small"), null, false), Resources(4.0, 0.0, 1.0), 1, 3.0)))
-        assertEquals(setOf(MachineName("l")), plan.unneeded)
+        assertEquals(setOf(MachineName("l")), plan.surplus)
     }
 
     @Test
-    fun `work that can wait is not worth a dear machine`() {
+    fun `work that can wait is not worth an expensive machine`() {
         val noSpot = { offer: Offer -> offer.spot }
-        // Spot machines of this type are shut, so only ordinary ones are left; patience makes them fewer.
-        val now = plan(emptyList(), listOf(work(40)), noSpot).rent.sumOf { it.number }
+        // Spot offers are backed off, so only ordinary ones are left; work with slack gets fewer of them.
+        val now = plan(emptyList(), listOf(work(40)), noSpot).requests.sumOf { it.number }
         val patient =
             plan(
                 listOf(machine("a", Offer("large", "east", true))),
                 listOf(work(40, slack = 1000.seconds)),
                 noSpot,
-            ).rent.sumOf { it.number }
+            ).requests.sumOf { it.number }
         assertTrue(patient < now, "$patient of $now")
     }
 }
