--- a/src/main/kotlin/umberslip/agents/FollowerLeaseRenewal.kt
+++ b/src/main/kotlin/umberslip/agents/FollowerLeaseRenewal.kt
@@ -5,59 +5,64 @@
 import umberslip.records.RecordView
 
 /**
- * Keeps the workers of a zone alive that cannot reach the leader. Any controller may answer a heartbeat
- * with the leader's term and no starts, if a read of the records begun after the heartbeat came still
- * names that leader and does not condemn the machine. Tasks of cancelled jobs are stopped, so that a
- * cancellation bites here too. Pure.
+ * Renews the leases of workers that cannot reach the leader, on the leader's behalf. Any controller may answer a
+ * heartbeat with the leader's term and without starts, if a read of the records that began after the heartbeat arrived
+ * still names that leader and revokes no renewal for the machine. Tasks of cancelled jobs are stopped, so that a
+ * cancellation takes effect here too. Pure; not safe for use by several threads.
+ *
+ * [connections] is how many workers may be connected at once.
  */
 class FollowerLeaseRenewal(
     connections: Int,
 ) {
-    /** Machines that were heard on each connection, one after the other, before the first is forgotten. */
     private val maxMachines = connections * MACHINES_PER_CONNECTION
-    private val newest =
+    private val newestVersions =
         object : LinkedHashMap<MachineName, HeartbeatVersion>() {
             override fun removeEldestEntry(eldest: Map.Entry<MachineName, HeartbeatVersion>) = size > maxMachines
         }
-    private val heard = LinkedHashSet<MachineName>()
+    private val renewed = LinkedHashSet<MachineName>()
 
     /**
-     * Takes note of a heartbeat; false for a late copy. Only a worker whose answers arrive stays here and
-     * sends the next one, so it takes two in a row to be a sign of life.
+     * Takes account of a heartbeat; false for a late copy. Only a worker that receives responses stays here and sends
+     * the next one, so it takes two heartbeats in a row to show that the machine's lease was renewed.
      */
     fun isNew(heartbeat: Heartbeat): Boolean {
-        val known = newest[heartbeat.machineName]
-        if (known != null && heartbeat.heartbeatVersion <= known) return false
-        if (known != null && heartbeat.heartbeatVersion.follows(known)) heard += heartbeat.machineName
-        newest[heartbeat.machineName] = heartbeat.heartbeatVersion
+        val name = heartbeat.machineName
+        val newest = newestVersions[name]
+        if (newest != null && heartbeat.heartbeatVersion <= newest) return false
+        if (newest != null && heartbeat.heartbeatVersion.follows(newest)) renewed += name
+        newestVersions[name] = heartbeat.heartbeatVersion
         return true
     }
 
-    /** The machines that were alive since they were last taken, as many as one value holds; the rest come next. */
-    fun takeRenewed(valueBytes: Int): Set<MachineName> = MachineSetRecord.fitting(heard, valueBytes).also { heard -= it }
+    /**
+     * Takes the machines whose leases were renewed since they were last taken: as many as one stored value of
+     * [valueBytes] holds. The rest is had with the next call.
+     */
+    fun takeRenewed(valueBytes: Int): Set<MachineName> = MachineSetRecord.fitting(renewed, valueBytes).also { renewed -= it }
 
     companion object {
+        /** Machines whose newest heartbeat is remembered for each connection; then the first is forgotten. */
         private const val MACHINES_PER_CONNECTION = 8
 
-        /** What to answer; null where the heartbeat must not be answered with 200. */
+        /** The response to a heartbeat by these records; null where the lease must not be renewed. */
         fun answer(
             heartbeat: Heartbeat,
             records: RecordView,
         ): HeartbeatResponse? {
             val leader = records.leader?.value ?: return null
             if (heartbeat.fencingToken > leader.term) return null
-            if (records.revokedRenewals
-                    ?.value
-                    ?.machineNames
-                    ?.contains(heartbeat.machineName) == true
-            ) {
-                return null
-            }
+            if (isRevoked(heartbeat.machineName, records)) return null
             val stops =
                 heartbeat.tasks
                     .filter { it.status != TaskState.EXITED && records.job(it.task.job)?.value?.cancelled == true }
-                    .map { WorkerCommand.Stop(it.task, it.attempt, 0.0) }
+                    .map { WorkerCommand.Stop(it.task, it.attempt, gracePeriodSeconds = 0.0) }
             return HeartbeatResponse(leader.term, stops)
         }
+
+        private fun isRevoked(
+            name: MachineName,
+            records: RecordView,
+        ): Boolean = records.revokedRenewals?.let { name in it.value.machineNames } ?: false
     }
 }
--- a/src/main/kotlin/umberslip/agents/Heartbeat.kt
+++ b/src/main/kotlin/umberslip/agents/Heartbeat.kt
@@ -3,44 +3,50 @@
 import umberslip.core.MachineName
 import umberslip.core.TaskId
 import umberslip.core.Term
-import umberslip.http.DocumentReader
-import umberslip.http.Documents
-import umberslip.http.MalformedMessageException
-
-enum class TaskState(
-    val word: String,
-) {
-    FETCHING("fetching"),
-    WAITING_FOR_GANG("gathering"),
-    RUNNING("running"),
-    CHECKPOINTING("saving"),
-    EXITED("ended"),
-    ;
-
-    companion object {
-        fun of(word: String): TaskState? = entries.find { it.word == word }
-    }
+
+/** How far a task on a machine has come. */
+enum class TaskState {
+    /** It waits for its image. */
+    FETCHING,
+
+    /** It waits for the other tasks of its gang. */
+    WAITING_FOR_GANG,
+    RUNNING,
+
+    /** It was stopped and saves a checkpoint. */
+    CHECKPOINTING,
+
+    /** It has ended; the worker reports it until it is cleared. */
+    EXITED,
 }
 
-enum class ExitCause(
-    val word: String,
-) {
-    DONE("done"),
-    STOPPED("halted"),
-    GANG_MEMBER_LOST("peers"),
-    GANG_INCOMPLETE("alone"),
-    ERROR("error"),
-    MACHINE_FULL("full"),
-    ALREADY_PRESENT("busy"),
-    UNKNOWN("unknown"),
-    ;
-
-    companion object {
-        /** A cause from a later protocol counts as a failure of no known kind. */
-        fun of(word: String?): ExitCause = entries.find { it.word == word } ?: ERROR
-    }
+/** Why a task has ended, or did not start. */
+enum class ExitCause {
+    DONE,
+
+    /** By command. */
+    STOPPED,
+
+    /** Another task of its gang was lost. */
+    GANG_MEMBER_LOST,
+
+    /** Its gang was not complete in time. */
+    GANG_INCOMPLETE,
+
+    /** It failed; mostly the machine is faulty. */
+    ERROR,
+
+    /** Not started: the machine has not enough free resources. */
+    MACHINE_FULL,
+
+    /** Not started: the task is on this machine under another attempt. */
+    ALREADY_PRESENT,
+
+    /** Not started: the worker found no such job or task. */
+    UNKNOWN,
 }
 
+/** A task as its worker reports it; [cause] is given if it has exited. [saved] if its last checkpoint was saved. */
 data class ReportedTask(
     val task: TaskId,
     val attempt: Long,
@@ -49,18 +55,24 @@
     val saved: Boolean,
 )
 
-/** Which report of its machine one is: a session, and a number within it. The larger is the newer. */
+/**
+ * Orders the heartbeats of one machine: the larger is the newer. [session] is the agent epoch, which rises each time the
+ * worker's lease expires and it starts over without tasks; [sequenceNumber] counts within it.
+ */
 data class HeartbeatVersion(
     val session: Long,
     val sequenceNumber: Long,
 ) : Comparable<HeartbeatVersion> {
     override fun compareTo(other: HeartbeatVersion): Int = compareValuesBy(this, other, HeartbeatVersion::session, HeartbeatVersion::sequenceNumber)
 
-    /** The worker sent nothing in between. */
+    /** Whether the worker sent nothing in between. */
     fun follows(other: HeartbeatVersion): Boolean = session == other.session && sequenceNumber == other.sequenceNumber + 1
 }
 
-/** What a worker says of its machine. */
+/**
+ * The state of a machine as its worker reports it. [fencingToken] is the highest term that the worker has seen;
+ * [warningSeconds] is the time until a spot interruption, if the cloud has given notice of one.
+ */
 data class Heartbeat(
     val machineName: MachineName,
     val type: String,
@@ -70,76 +82,4 @@
     val fencingToken: Term,
     val warningSeconds: Double?,
     val tasks: List<ReportedTask>,
-) {
-    companion object {
-        /** Hundreds come every second, each with all that is on a machine, so they are read as they stream by. */
-        fun parse(body: ByteArray): Heartbeat = Documents.readCbor(body, ::read)
-
-        private fun read(s: DocumentReader): Heartbeat {
-            var machineName: String? = null
-            var type: String? = null
-            var zone: String? = null
-            var spot = false
-            var session: Long? = null
-            var sequenceNumber: Long? = null
-            var fencingToken: Long? = null
-            var warning: Double? = null
-            val tasks = ArrayList<ReportedTask>()
-            s.map { name ->
-                when (name) {
-                    "host" -> machineName = s.text(name)
-                    "hosttype" -> type = s.text(name)
-                    "hall" -> zone = s.text(name)
-                    "reclaimable" -> if (!s.isNull) spot = s.flag(name)
-                    "shift" -> session = s.long(name)
-                    "counter" -> sequenceNumber = s.long(name)
-                    "warrant" -> fencingToken = s.long(name)
-                    "warning_s" -> if (!s.isNull) warning = s.number(name)
-                    "pieces" -> s.list { tasks += piece(s) }
-                    else -> s.skip()
-                }
-            }
-            return Heartbeat(
-                MachineName(there(machineName, "host").ifEmpty { throw MalformedMessageException("host is empty") }),
-                there(type, "hosttype"),
-                there(zone, "hall"),
-                spot,
-                HeartbeatVersion(there(session, "shift"), there(sequenceNumber, "counter")),
-                Term(there(fencingToken, "warrant")),
-                warning,
-                tasks,
-            )
-        }
-
-        private fun piece(s: DocumentReader): ReportedTask {
-            var task: TaskId? = null
-            var attempt: Long? = null
-            var status: TaskState? = null
-            var cause: String? = null
-            var saved = false
-            s.map { name ->
-                when (name) {
-                    "piece" -> task = TaskId.parse(s.text(name)) ?: throw MalformedMessageException("piece is not a task id")
-                    "try" -> attempt = s.long(name)
-                    "status" -> status = TaskState.of(s.text(name)) ?: throw MalformedMessageException("unknown status of a piece")
-                    "cause" -> if (!s.isNull) cause = s.text(name)
-                    "saved" -> if (!s.isNull) saved = s.flag(name)
-                    else -> s.skip()
-                }
-            }
-            val state = there(status, "status")
-            return ReportedTask(
-                there(task, "piece"),
-                there(attempt, "try"),
-                state,
-                if (state == TaskState.EXITED) ExitCause.of(cause) else null,
-                saved,
-            )
-        }
-
-        private fun <T : Any> there(
-            value: T?,
-            name: String,
-        ): T = value ?: throw MalformedMessageException("$name is missing")
-    }
-}
+)
--- a/src/main/kotlin/umberslip/agents/WorkerCommand.kt
+++ b/src/main/kotlin/umberslip/agents/WorkerCommand.kt
@@ -3,13 +3,6 @@
 import umberslip.core.TaskId
 import umberslip.core.Term
 
-private const val VERB = "verb"
-private const val TASK = "piece"
-private const val ATTEMPT = "try"
-private const val GRACE_PERIOD_SECONDS = "wind_down_s"
-private const val FENCING_TOKEN = "warrant"
-private const val COMMANDS = "orders"
-
 /** A command to a worker. The same command may be given again until a heartbeat shows that it was carried out. */
 sealed interface WorkerCommand {
     val task: TaskId
@@ -23,7 +16,12 @@
         override val task: TaskId,
         override val attempt: Long,
     ) : WorkerCommand {
-        override fun toMap() = mapOf(VERB to "start", TASK to task.toString(), ATTEMPT to attempt)
+        override fun toMap() =
+            mapOf(
+                WorkerProtocol.VERB to WorkerProtocol.VERB_START,
+                WorkerProtocol.TASK to task.toString(),
+                WorkerProtocol.ATTEMPT to attempt,
+            )
     }
 
     /** Stops a task; one that saves checkpoints gets [gracePeriodSeconds] to save the last one. */
@@ -34,10 +32,10 @@
     ) : WorkerCommand {
         override fun toMap() =
             mapOf(
-                VERB to "stop",
-                TASK to task.toString(),
-                ATTEMPT to attempt,
-                GRACE_PERIOD_SECONDS to gracePeriodSeconds,
+                WorkerProtocol.VERB to WorkerProtocol.VERB_STOP,
+                WorkerProtocol.TASK to task.toString(),
+                WorkerProtocol.ATTEMPT to attempt,
+                WorkerProtocol.GRACE_PERIOD_SECONDS to gracePeriodSeconds,
             )
     }
 
@@ -46,7 +44,12 @@
         override val task: TaskId,
         override val attempt: Long,
     ) : WorkerCommand {
-        override fun toMap() = mapOf(VERB to "clear", TASK to task.toString(), ATTEMPT to attempt)
+        override fun toMap() =
+            mapOf(
+                WorkerProtocol.VERB to WorkerProtocol.VERB_CLEAR,
+                WorkerProtocol.TASK to task.toString(),
+                WorkerProtocol.ATTEMPT to attempt,
+            )
     }
 }
 
@@ -56,5 +59,9 @@
     val commands: List<WorkerCommand> = emptyList(),
 ) {
     /** The answer as the protocol has it. */
-    fun toMap(): Map<String, Any?> = mapOf(FENCING_TOKEN to term.value, COMMANDS to commands.map { it.toMap() })
+    fun toMap(): Map<String, Any?> =
+        mapOf(
+            WorkerProtocol.FENCING_TOKEN to term.value,
+            WorkerProtocol.COMMANDS to commands.map { it.toMap() },
+        )
 }
--- a/src/test/kotlin/umberslip/agents/FollowerLeaseRenewalTest.kt
+++ b/src/test/kotlin/umberslip/agents/FollowerLeaseRenewalTest.kt
@@ -38,20 +38,27 @@
 
     private fun answer(fencingToken: Long = 4) =
         FollowerLeaseRenewal.answer(
-            Heartbeat(MachineName("m"), "small", "east", false, HeartbeatVersion(1, 1), Term(fencingToken), null, listOf(running)),
+            heartbeat(HeartbeatVersion(1, 1), fencingToken, listOf(running)),
             replica,
         )
 
+    private fun heartbeat(
+        version: HeartbeatVersion,
+        fencingToken: Long = 4,
+        tasks: List<ReportedTask> = emptyList(),
+    ) = Heartbeat(MachineName("m"), "small", "east", false, version, Term(fencingToken), null, tasks)
+
     @Test
     fun `a heartbeat is answered with the leader's term while the records allow it`() {
-        assertNull(answer(), "nobody owns")
+        assertNull(answer(), "there is no leader")
         put(Keys.LEADER, LeaderRecord("c-1", Term(4), StoreLease(1)).toMap(), 1)
         put(Keys.job(spec.id), JobRecord(spec, Instant.EPOCH, false).toMap(), 2)
         assertEquals(HeartbeatResponse(Term(4), emptyList()), answer())
         assertEquals(HeartbeatResponse(Term(4), emptyList()), answer(fencingToken = 3))
         assertNull(answer(fencingToken = 5), "the worker has seen a higher term")
         put(Keys.job(spec.id), JobRecord(spec, Instant.EPOCH, true).toMap(), 3)
-        assertEquals(HeartbeatResponse(Term(4), listOf(WorkerCommand.Stop(running.task, 7, 0.0))), answer(), "a cancellation bites here too")
+        val stop = WorkerCommand.Stop(running.task, 7, 0.0)
+        assertEquals(HeartbeatResponse(Term(4), listOf(stop)), answer(), "a cancellation takes effect here too")
         put(Keys.REVOKED_RENEWALS, MachineSetRecord(setOf(MachineName("m"))).toMap(), 4)
         assertNull(answer())
         put(Keys.REVOKED_RENEWALS, MachineSetRecord(emptySet()).toMap(), 5)
@@ -59,23 +66,23 @@
     }
 
     @Test
-    fun `late copies count for nothing, and only two heartbeats in a row are a sign of life`() {
-        val followerLeaseRenewal = FollowerLeaseRenewal(connections = 100)
+    fun `late copies are ignored, and only two heartbeats in a row renew a lease`() {
+        val renewal = FollowerLeaseRenewal(connections = 100)
 
         fun heartbeat(
-            session: Long,
+            agentEpoch: Long,
             sequenceNumber: Long,
-        ) = Heartbeat(MachineName("m"), "small", "east", false, HeartbeatVersion(session, sequenceNumber), Term(4), null, emptyList())
-        assertTrue(followerLeaseRenewal.isNew(heartbeat(1, 7)))
-        assertFalse(followerLeaseRenewal.isNew(heartbeat(1, 7)))
-        assertFalse(followerLeaseRenewal.isNew(heartbeat(1, 3)))
-        assertTrue(followerLeaseRenewal.isNew(heartbeat(1, 9)))
-        assertEquals(emptySet<MachineName>(), followerLeaseRenewal.takeRenewed(100), "no answer arrived")
-        assertTrue(followerLeaseRenewal.isNew(heartbeat(1, 10)))
-        assertEquals(setOf(MachineName("m")), followerLeaseRenewal.takeRenewed(100))
-        assertEquals(emptySet<MachineName>(), followerLeaseRenewal.takeRenewed(100))
-        assertTrue(followerLeaseRenewal.isNew(heartbeat(2, 1)))
-        assertFalse(followerLeaseRenewal.isNew(heartbeat(1, 11)))
+        ) = heartbeat(HeartbeatVersion(agentEpoch, sequenceNumber))
+        assertTrue(renewal.isNew(heartbeat(1, 7)))
+        assertFalse(renewal.isNew(heartbeat(1, 7)))
+        assertFalse(renewal.isNew(heartbeat(1, 3)))
+        assertTrue(renewal.isNew(heartbeat(1, 9)))
+        assertEquals(emptySet<MachineName>(), renewal.takeRenewed(100), "the worker received no response")
+        assertTrue(renewal.isNew(heartbeat(1, 10)))
+        assertEquals(setOf(MachineName("m")), renewal.takeRenewed(100))
+        assertEquals(emptySet<MachineName>(), renewal.takeRenewed(100))
+        assertTrue(renewal.isNew(heartbeat(2, 1)))
+        assertFalse(renewal.isNew(heartbeat(1, 11)))
     }
 
     @Test
@@ -90,18 +97,19 @@
                 "warrant" to 0L,
                 "pieces" to emptyList<Any>(),
             )
-        assertEquals(MachineName("m"), Heartbeat.parse(Documents.writeCbor(good)).machineName)
-        for (
-        bad in listOf(
-            "host" to "",
-            "host" to null,
-            "shift" to "1",
-            "pieces" to listOf(mapOf("piece" to "x")),
-            "pieces" to 3L,
-            "warrant" to 1.5,
-        )
-        ) {
-            assertThrows(MalformedMessageException::class.java, { Heartbeat.parse(Documents.writeCbor(good + bad)) }, "$bad")
+        assertEquals(MachineName("m"), HeartbeatCodec.parse(Documents.writeCbor(good)).machineName)
+        val wrongFields =
+            listOf(
+                "host" to "",
+                "host" to null,
+                "shift" to "1",
+                "pieces" to listOf(mapOf("piece" to "x")),
+                "pieces" to 3L,
+                "warrant" to 1.5,
+            )
+        for (wrong in wrongFields) {
+            val body = Documents.writeCbor(good + wrong)
+            assertThrows(MalformedMessageException::class.java, { HeartbeatCodec.parse(body) }, "$wrong")
         }
     }
 }
