--- /dev/null
+++ b/src/main/kotlin/umberslip/cloud/CloudProtocol.kt
@@ -0,0 +1,51 @@
+package umberslip.cloud
+
+/** The paths, names and values of the cloud's protocol. No other file holds them. */
+internal object CloudProtocol {
+    const val INSTANCE_TYPES_PATH = "/flavors"
+    const val MACHINES_PATH = "/rentals"
+    const val TERMINATE_PATH = "/rentals/release"
+
+    /** The largest page that the cloud serves. */
+    const val PAGE_SIZE = 500
+
+    // An instance type.
+    const val INSTANCE_TYPES = "hosttypes"
+    const val LABEL = "label"
+    const val CPUS = "vcpus"
+    const val GPUS = "accelerators"
+    const val MEMORY_GB = "memory_gb"
+    const val FETCH_GB_PER_SECOND = "pull_gb_per_s"
+    const val PRICE = "rate"
+    const val SPOT_PRICE = "market_price"
+    const val BOOT_SECONDS = "boot_s"
+    const val ZONES = "halls"
+
+    // A provisioning request.
+    const val REQUEST_NAME = "hire"
+    const val NUMBER = "number"
+
+    // A machine, in requests and in the list.
+    const val MACHINES = "hosts"
+    const val MACHINE_NAME = "uid"
+    const val INSTANCE_TYPE = "hosttype"
+    const val ZONE = "hall"
+    const val SPOT = "reclaimable"
+    const val STATUS = "status"
+    const val AGE_SECONDS = "age_s"
+    const val HAS_NEXT_PAGE = "has_next"
+
+    // A refusal.
+    const val ERROR = "error"
+    const val NO_CAPACITY = "no capacity"
+
+    fun machineStatus(name: String): MachineStatus =
+        when (name) {
+            "booting" -> MachineStatus.BOOTING
+            "failed" -> MachineStatus.FAILED
+            else -> MachineStatus.RUNNING
+        }
+
+    /** The path of the page of the list that follows [after]; an empty name for the first one. */
+    fun pagePath(after: String): String = if (after.isEmpty()) "$MACHINES_PATH?page=$PAGE_SIZE" else "$MACHINES_PATH?after=$after&page=$PAGE_SIZE"
+}
