--- a/src/main/kotlin/umberslip/actor/Actor.kt
+++ b/src/main/kotlin/umberslip/actor/Actor.kt
@@ -7,15 +7,17 @@
 import kotlinx.coroutines.launch
 import org.slf4j.LoggerFactory
 import java.util.concurrent.atomic.AtomicInteger
-import kotlin.time.Duration
 
 /**
- * Owns its state and is spoken to by messages only.
+ * Owns its state, which only its own messages change, one after the other in the order in which they were sent.
  *
- * What comes from outside is bounded: a sender whose message does not fit is told so and decides for
- * itself (a front door answers 503, a worker's heartbeat is refused), so no queue grows without limit.
- * What the controller's own parts owe one another always has room: there is a bounded number of it, and
- * an outcome, a change of the records or of leadership that went missing would never be made good.
+ * Messages from outside the controller are bounded by [capacity]: [trySend] refuses what does not fit, and its caller
+ * decides what to do (the API for users answers 503, a worker's heartbeat is refused), so that no queue grows without
+ * limit. What the controller's own parts send is never refused by [enqueue]: there is a bounded number of it, and the
+ * outcome of a write, or a change of the records or of leadership, would never be sent again.
+ *
+ * Sending is safe from any thread; messages are handled on the threads of [scope]. [name] is that of the logger, after
+ * `umberslip.`.
  */
 abstract class Actor<M : Any>(
     private val name: String,
@@ -26,19 +28,20 @@
     private val mailbox = Channel<M>(Channel.UNLIMITED)
     private val queued = AtomicInteger()
 
-    /** For what comes from outside, or is a hint; false where the mailbox is full. */
+    /** For messages from outside, or hints; false where the mailbox is full. */
     fun trySend(message: M): Boolean = queued.get() < capacity && enqueue(message)
 
-    /** For what must not be lost; false only once the actor has ended. */
+    /** For messages that must not be lost; false only once the actor has ended. */
     fun enqueue(message: M): Boolean {
         if (!mailbox.trySend(message).isSuccess) return false
         queued.incrementAndGet()
         return true
     }
 
-    /** Handles one message; a failure is logged and harms that message alone. */
+    /** Handles one message. A failure is logged and affects that message alone. */
     protected abstract suspend fun receive(message: M)
 
+    /** Begins to handle messages, those sent before included; they are handled until [scope] ends. */
     open fun start(): Job =
         scope.launch {
             for (message in mailbox) {
@@ -48,15 +51,15 @@
                 } catch (e: CancellationException) {
                     throw e
                 } catch (e: Exception) {
-                    log.error("{} failed on {}", name, message::class.simpleName, e)
+                    log.error("message handler failed: actor={} message={}", name, message::class.simpleName, e)
                 }
             }
         }
 
     companion object {
         /**
-         * Room for what an actor's own parts send. An actor that gets requests adds one for each connection: requests
-         * are not pipelined, so there are never more of them at once.
+         * Enough for the messages of the controller's own parts. An actor that gets requests adds one for each
+         * connection: requests are not pipelined, so there are never more of them at once.
          */
         const val DEFAULT_CAPACITY = 2048
     }
--- a/src/main/kotlin/umberslip/peers/Peers.kt
+++ b/src/main/kotlin/umberslip/peers/Peers.kt
@@ -1,26 +1,11 @@
 package umberslip.peers
 
-import io.netty.bootstrap.Bootstrap
-import io.netty.bootstrap.ServerBootstrap
-import io.netty.buffer.ByteBuf
-import io.netty.buffer.Unpooled
 import io.netty.channel.Channel
-import io.netty.channel.ChannelFutureListener
-import io.netty.channel.ChannelHandlerContext
-import io.netty.channel.ChannelInitializer
-import io.netty.channel.ChannelOption
 import io.netty.channel.EventLoopGroup
-import io.netty.channel.SimpleChannelInboundHandler
-import io.netty.channel.socket.SocketChannel
-import io.netty.channel.socket.nio.NioServerSocketChannel
-import io.netty.channel.socket.nio.NioSocketChannel
-import io.netty.handler.codec.LengthFieldBasedFrameDecoder
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.Job
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
-import okio.Buffer
-import okio.EOFException
 import umberslip.actor.Actor
 import umberslip.core.Clock
 import umberslip.settings.Peer
@@ -29,77 +14,21 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** What controllers tell one another; losing any of it does no harm. */
-sealed interface PeerFrame {
-    /** A job was accepted or cancelled: whoever leads should read the records now. */
-    data class News(
-        val from: String,
-    ) : PeerFrame
-
-    /** Asks whether the other is there. */
-    data class Ping(
-        val from: String,
-    ) : PeerFrame
-
-    /** The answer to a ping; [served] tells whether the key-value store serves the one that answers. */
-    data class Pong(
-        val from: String,
-        val served: Boolean,
-    ) : PeerFrame
-
-    fun encode(): Buffer {
-        val body = Buffer()
-        when (this) {
-            is News -> body.writeByte(NEWS).writeUtf8(from)
-            is Ping -> body.writeByte(PING).writeUtf8(from)
-            is Pong -> body.writeByte(PONG).writeByte(if (served) 1 else 0).writeUtf8(from)
-        }
-        return Buffer().writeInt(body.size.toInt()).apply { writeAll(body) }
-    }
-
-    companion object {
-        private const val NEWS = 1
-        private const val PING = 2
-        private const val PONG = 3
-        const val MAX_BYTES = 1024
-
-        /** Null for what cannot be read, or is of a kind not known yet. */
-        fun decode(body: Buffer): PeerFrame? =
-            try {
-                when (body.readByte().toInt()) {
-                    NEWS -> News(body.readUtf8())
-                    PING -> Ping(body.readUtf8())
-                    PONG -> body.readByte().let { Pong(body.readUtf8(), it.toInt() != 0) }
-                    else -> null
-                }
-            } catch (e: EOFException) {
-                null
-            }
-    }
-}
-
-/** What the other controllers that can be reached say of the key-value store. */
-enum class PeerHealth {
-    /** It serves at least one of them. */
-    SERVED,
-
-    /** It serves none of them. */
-    UNSERVED,
-
-    /** None can be reached. */
-    UNREACHABLE,
-}
-
+/** The messages of the [Peers] actor. */
 sealed interface PeersMessage {
+    /** Tells all peers that the records have changed. */
     data object Announce : PeersMessage
 
+    /** Time to ping all peers. */
     data object Tick : PeersMessage
 
+    /** A frame arrived; [channel] leads back to its sender. */
     class Received(
         val frame: PeerFrame,
         val channel: Channel,
     ) : PeersMessage
 
+    /** An attempt to connect has ended; [channel] is null if it failed. */
     class Opened(
         val peer: Peer,
         val channel: Channel?,
@@ -107,34 +36,43 @@
 }
 
 /**
- * The link to the other controllers: hints only, so that an leader learns of new work at once, and
- * workers are not sent to a controller that cannot be reached.
+ * The connections to the other controllers ([known]). They carry hints only, so that a leader learns of new work at
+ * once, and workers are not sent to a controller that cannot be reached. Nothing safety rests on depends on them.
+ *
+ * All state is used on the one thread of [group], which [scope] runs on, too. [isServed] tells whether the key-value
+ * store serves this controller; [onRecordsChanged] is called when a peer announced a change.
  */
 class Peers(
     private val scope: CoroutineScope,
-    private val group: EventLoopGroup,
+    group: EventLoopGroup,
     private val member: String,
     private val known: List<Peer>,
     private val clock: Clock,
-    private val onNews: () -> Unit,
-    private val served: () -> Boolean,
-) : Actor<PeersMessage>("peers", scope, capacity = 256) {
+    private val onRecordsChanged: () -> Unit,
+    private val isServed: () -> Boolean,
+) : Actor<PeersMessage>("peers", scope, MAILBOX_CAPACITY) {
+    private val connections =
+        PeerChannels(group, log) { frame, channel -> trySend(PeersMessage.Received(frame, channel)) }
     private val channels = HashMap<String, Channel>()
-    private val opening = HashSet<String>()
-    private val heard = HashMap<String, Duration>()
-    private val othersServed = HashMap<String, Boolean>()
+    private val connecting = HashSet<String>()
+    private val contacts = HashMap<String, Contact>()
 
-    /** Whether a controller has answered lately; that it has not does not prove that it is dead. */
-    fun reaches(member: String): Boolean = heard[member]?.let { clock.now() - it < SILENT } ?: false
+    /** The last pong of a member: when it arrived, and whether the key-value store serves the member. */
+    private class Contact(
+        val at: Duration,
+        val isServed: Boolean,
+    )
 
+    /** Whether a controller has responded lately; that it has not does not prove that it is dead. */
+    fun reaches(member: String): Boolean = contacts[member]?.let { clock.now() - it.at < UNREACHABLE_AFTER } ?: false
+
+    /** As the peers said lately, by their pongs. */
     fun peerHealth(): PeerHealth {
-        val near = known.filter { reaches(it.member) }
-        return if (near.any { othersServed[it.member] == true }) {
-            PeerHealth.SERVED
-        } else if (near.isEmpty()) {
-            PeerHealth.UNREACHABLE
-        } else {
-            PeerHealth.UNSERVED
+        val reachable = known.filter { reaches(it.member) }
+        return when {
+            reachable.any { contacts[it.member]?.isServed == true } -> PeerHealth.SERVED
+            reachable.isEmpty() -> PeerHealth.UNREACHABLE
+            else -> PeerHealth.UNSERVED
         }
     }
 
@@ -142,131 +80,85 @@
         scope.launch {
             while (true) {
                 trySend(PeersMessage.Tick)
-                delay(PING_EVERY)
+                delay(PING_INTERVAL)
             }
         }
         return super.start()
     }
 
-    fun bind(address: InetSocketAddress): Channel =
-        ServerBootstrap()
-            .group(group)
-            .channel(NioServerSocketChannel::class.java)
-            .option(ChannelOption.SO_REUSEADDR, true)
-            .childHandler(
-                object : ChannelInitializer<SocketChannel>() {
-                    override fun initChannel(channel: SocketChannel) {
-                        channel.pipeline().addLast(
-                            LengthFieldBasedFrameDecoder(PeerFrame.MAX_BYTES, 0, Int.SIZE_BYTES, 0, Int.SIZE_BYTES),
-                            Inbound(),
-                        )
-                    }
-                },
-            ).bind(address)
-            .sync()
-            .channel()
+    /** Accepts connections of peers; fails if the address cannot be bound. */
+    fun bind(address: InetSocketAddress): Channel = connections.bind(address)
 
     override suspend fun receive(message: PeersMessage) {
         when (message) {
-            PeersMessage.Announce -> known.forEach { send(it, PeerFrame.News(member)) }
+            PeersMessage.Announce -> known.forEach { send(it, PeerFrame.RecordsChanged(member)) }
             PeersMessage.Tick -> known.forEach { send(it, PeerFrame.Ping(member)) }
-            is PeersMessage.Received ->
-                when (val frame = message.frame) {
-                    is PeerFrame.News -> onNews()
-                    is PeerFrame.Ping -> write(message.channel, PeerFrame.Pong(member, served()))
-                    is PeerFrame.Pong -> {
-                        heard[frame.from] = clock.now()
-                        othersServed[frame.from] = frame.served
-                    }
-                }
-            is PeersMessage.Opened -> {
-                opening -= message.peer.member
-                val channel = message.channel ?: return
-                channels[message.peer.member] = channel
-                // What was to be said when there was no connection may have been news.
-                write(channel, PeerFrame.News(member))
-                write(channel, PeerFrame.Ping(member))
-            }
+            is PeersMessage.Received -> receive(message.frame, message.channel)
+            is PeersMessage.Opened -> opened(message.peer, message.channel)
         }
     }
 
-    private fun send(
-        peer: Peer,
+    private fun receive(
         frame: PeerFrame,
+        channel: Channel,
     ) {
-        val channel = channels[peer.member]
-        // A connection over which nothing comes back any more is given up for a new one.
-        val stuck =
-            channel != null && !reaches(peer.member) && heard[peer.member]?.let { clock.now() - it > GIVE_UP } == true
-        if (channel == null || !channel.isActive || stuck) {
-            channels.remove(peer.member)?.close()
-            if (stuck) heard.remove(peer.member)
-            open(peer)
-        } else {
-            write(channel, frame)
+        when (frame) {
+            is PeerFrame.RecordsChanged -> onRecordsChanged()
+            is PeerFrame.Ping -> connections.write(channel, PeerFrame.Pong(member, isServed()))
+            is PeerFrame.Pong -> contacts[frame.from] = Contact(clock.now(), frame.served)
         }
     }
 
-    private fun write(
-        channel: Channel,
-        frame: PeerFrame,
+    private fun opened(
+        peer: Peer,
+        channel: Channel?,
     ) {
-        if (channel.isWritable) channel.writeAndFlush(Unpooled.wrappedBuffer(frame.encode().readByteArray()))
+        connecting -= peer.member
+        if (channel == null) return
+        channels[peer.member] = channel
+        // A change may have been announced while there was no connection.
+        connections.write(channel, PeerFrame.RecordsChanged(member))
+        connections.write(channel, PeerFrame.Ping(member))
     }
 
-    private fun open(peer: Peer) {
-        if (!opening.add(peer.member)) return
-        Bootstrap()
-            .group(group)
-            .channel(NioSocketChannel::class.java)
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS)
-            .handler(
-                object : ChannelInitializer<SocketChannel>() {
-                    override fun initChannel(channel: SocketChannel) {
-                        channel.pipeline().addLast(
-                            LengthFieldBasedFrameDecoder(PeerFrame.MAX_BYTES, 0, Int.SIZE_BYTES, 0, Int.SIZE_BYTES),
-                            Inbound(),
-                        )
-                        // A process that ended closes its connections: it is not reached from then on.
-                        channel.closeFuture().addListener { heard.remove(peer.member) }
-                    }
-                },
-            ).connect(peer.address)
-            .addListener(
-                ChannelFutureListener { enqueue(PeersMessage.Opened(peer, if (it.isSuccess) it.channel() else null)) },
-            )
-    }
-
-    private inner class Inbound : SimpleChannelInboundHandler<ByteBuf>() {
-        override fun channelRead0(
-            ctx: ChannelHandlerContext,
-            message: ByteBuf,
-        ) {
-            val bytes = ByteArray(message.readableBytes())
-            message.readBytes(bytes)
-            val frame = PeerFrame.decode(Buffer().write(bytes))
-            if (frame == null) {
-                log.warn("a frame from {} cannot be read: connection closed", ctx.channel().remoteAddress())
-                ctx.close()
-            } else {
-                trySend(PeersMessage.Received(frame, ctx.channel()))
-            }
+    private fun send(
+        peer: Peer,
+        frame: PeerFrame,
+    ) {
+        val channel = channels[peer.member]
+        val isUnresponsive = channel != null && isUnresponsive(peer.member)
+        if (channel != null && channel.isActive && !isUnresponsive) {
+            connections.write(channel, frame)
+            return
         }
+        channels.remove(peer.member)?.close()
+        if (isUnresponsive) contacts.remove(peer.member)
+        connect(peer)
+    }
 
-        @Deprecated("as Netty's")
-        override fun exceptionCaught(
-            ctx: ChannelHandlerContext,
-            cause: Throwable,
-        ) {
-            log.debug("peer connection ended: {}", cause.toString())
-            ctx.close()
-        }
+    /** Whether nothing has come back for so long that a new connection is to replace the present one. */
+    private fun isUnresponsive(member: String): Boolean = !reaches(member) && contacts[member]?.let { clock.now() - it.at > RECONNECT_AFTER } == true
+
+    private fun connect(peer: Peer) {
+        if (!connecting.add(peer.member)) return
+        connections.connect(
+            peer.address,
+            onOpened = { enqueue(PeersMessage.Opened(peer, it)) },
+            // A process that ended closes its connections: it is not reached from then on.
+            onClosed = { contacts.remove(peer.member) },
+        )
     }
 
     private companion object {
-        const val CONNECT_MILLIS = 1000
-        val PING_EVERY = 500.milliseconds
-        val SILENT = 1500.milliseconds
-        val GIVE_UP = 4.seconds
+        /** A few controllers, a few frames a second each. */
+        const val MAILBOX_CAPACITY = 256
+
+        val PING_INTERVAL = 500.milliseconds
+
+        /** Three pings without a pong. */
+        val UNREACHABLE_AFTER = 1500.milliseconds
+
+        /** Longer than a short interruption, after which the same connection goes on. */
+        val RECONNECT_AFTER = 4.seconds
     }
 }
--- a/src/test/kotlin/umberslip/actor/ActorTest.kt
+++ b/src/test/kotlin/umberslip/actor/ActorTest.kt
@@ -12,18 +12,18 @@
     private class Collector(
         scope: CoroutineScope,
     ) : Actor<Int>("test", scope, capacity = 3) {
-        val seen = ArrayList<Int>()
+        val received = ArrayList<Int>()
 
         override suspend fun receive(message: Int) {
-            seen += message
+            received += message
         }
     }
 
     @Test
-    fun `what comes from outside is refused when the mailbox is full, and what is owed never`() =
+    fun `messages from outside are refused when the mailbox is full, and those of own parts never`() =
         runTest {
-            // Found by reading: with every worker reporting at once after a stall, the outcome of a write or the
-            // news of a cancellation had no room in the mailbox and was gone.
+            // Found by reading: with heartbeats of all workers at once after a stall, the outcome of a write or the
+            // event of a cancellation did not fit into the mailbox and was lost.
             val actor = Collector(this)
             assertTrue(listOf(1, 2, 3).all(actor::trySend))
             assertFalse(actor.trySend(4))
@@ -31,10 +31,10 @@
             assertFalse(actor.trySend(6))
             actor.start()
             testScheduler.runCurrent()
-            assertEquals(listOf(1, 2, 3, 5), actor.seen)
-            assertTrue(actor.trySend(7), "there is room again")
+            assertEquals(listOf(1, 2, 3, 5), actor.received)
+            assertTrue(actor.trySend(7), "the mailbox was emptied")
             testScheduler.runCurrent()
-            assertEquals(listOf(1, 2, 3, 5, 7), actor.seen)
+            assertEquals(listOf(1, 2, 3, 5, 7), actor.received)
             coroutineContext.cancelChildren()
         }
 }
--- a/src/test/kotlin/umberslip/compatibility/FormatCompatibilityTest.kt
+++ b/src/test/kotlin/umberslip/compatibility/FormatCompatibilityTest.kt
@@ -89,7 +89,7 @@
 
     private val frames =
         mapOf(
-            "frame-news" to PeerFrame.News("solm-1"),
+            "frame-news" to PeerFrame.RecordsChanged("solm-1"),
             "frame-ping" to PeerFrame.Ping("solm-1"),
             "frame-pong-served" to PeerFrame.Pong("solm-1", true),
             "frame-pong-refused" to PeerFrame.Pong("solm-1", false),
--- a/src/test/kotlin/umberslip/peers/PeerFrameTest.kt
+++ b/src/test/kotlin/umberslip/peers/PeerFrameTest.kt
@@ -18,11 +18,11 @@
     private val fixed = PropTestConfig(seed = 5, iterations = 200)
 
     @Test
-    fun `frames are read back as written`() =
+    fun `frames are decoded as they were encoded`() =
         runBlocking<Unit> {
             checkAll(fixed, Arb.string(0, 40)) { member ->
                 val pongs = listOf(PeerFrame.Pong(member, true), PeerFrame.Pong(member, false))
-                for (frame in listOf(PeerFrame.News(member), PeerFrame.Ping(member)) + pongs) {
+                for (frame in listOf(PeerFrame.RecordsChanged(member), PeerFrame.Ping(member)) + pongs) {
                     val bytes = frame.encode()
                     assertEquals(bytes.readInt().toLong(), bytes.size)
                     assertEquals(frame, PeerFrame.decode(bytes))
@@ -31,7 +31,7 @@
         }
 
     @Test
-    fun `garbage gives no frame and no failure`() =
+    fun `unreadable bytes give no frame and no failure`() =
         runBlocking<Unit> {
             assertNull(PeerFrame.decode(Buffer()))
             checkAll(fixed, Arb.byteArray(Arb.int(0..40), Arb.byte())) { bytes ->
