--- a/src/main/kotlin/umberslip/cli/RecoveryCommand.kt
+++ b/src/main/kotlin/umberslip/cli/RecoveryCommand.kt
@@ -10,6 +10,8 @@
 import umberslip.recovery.RecordedWork
 import umberslip.recovery.RecordsAnswer
 import umberslip.recovery.RecoveryReport
+import umberslip.recovery.RecoveryReportJson
+import umberslip.recovery.RecoveryReportText
 import umberslip.settings.Settings
 import java.util.concurrent.Callable
 
@@ -52,7 +54,7 @@
         val (settings, _) = load()
         val addresses = if (controllers.isEmpty()) listOf(settings.bind) else controllers.map(Settings::address)
         val report = RecoveryReport(readRecords(settings), ControllerMetrics().let { addresses.map(it::ask) })
-        out.println(if (json) report.toJson() else report.toText())
+        out.println(if (json) RecoveryReportJson.render(report) else RecoveryReportText.render(report))
         out.flush()
         return report.status.exitCode
     }
@@ -79,7 +81,7 @@
 
     override fun call(): Int {
         spec.commandLine().out.run {
-            println(RecoveryReport.schema())
+            println(RecoveryReportJson.schema())
             flush()
         }
         return 0
--- a/src/main/kotlin/umberslip/daemon/HeartbeatReceiver.kt
+++ b/src/main/kotlin/umberslip/daemon/HeartbeatReceiver.kt
@@ -81,7 +81,7 @@
 
     private fun parse(request: Request): Heartbeat =
         try {
-            Heartbeat.parse(request.body)
+            HeartbeatCodec.parse(request.body)
         } catch (e: MalformedMessageException) {
             logMalformed(request, e)
             throw e
--- a/src/main/kotlin/umberslip/recovery/ControllerMetrics.kt
+++ b/src/main/kotlin/umberslip/recovery/ControllerMetrics.kt
@@ -11,37 +11,14 @@
 import kotlin.time.Duration.Companion.seconds
 import kotlin.time.toJavaDuration
 
-/** What one controller says of the recovery, or why it says nothing. */
-sealed interface ControllerAnswer {
-    val address: String
-
-    /** It leads; the snapshot is that of its term. */
-    data class Leader(
-        override val address: String,
-        val snapshot: RecoverySnapshot,
-    ) : ControllerAnswer
-
-    data class NotLeader(
-        override val address: String,
-    ) : ControllerAnswer
-
-    /** It serves metrics, and recovery is not tracked there. */
-    data class NotTracked(
-        override val address: String,
-    ) : ControllerAnswer
-
-    data class Unreachable(
-        override val address: String,
-        val why: String,
-    ) : ControllerAnswer
-}
-
-/** Reads the metrics that [RecoveryMetrics] publishes, over the controllers' HTTP interface. */
+/** Reads the metrics that [RecoveryMetrics] publishes, over the controllers' HTTP interface. Blocks the caller. */
 class ControllerMetrics(
+    /** For the connection and for the response, each. */
     private val timeout: Duration = 3.seconds,
 ) {
     private val client = HttpClient.newBuilder().connectTimeout(timeout.toJavaDuration()).build()
 
+    /** Never fails: a controller that cannot be asked is [ControllerAnswer.Unreachable]. */
     fun ask(address: InetSocketAddress): ControllerAnswer {
         val name = "${address.hostString}:${address.port}"
         val request =
@@ -61,7 +38,7 @@
     companion object {
         private const val OK = 200
 
-        /** Prometheus' text format: one sample a line, `name{labels} value`. */
+        /** Reads Prometheus' text format: one sample a line, `name{labels} value`. */
         fun parse(
             address: String,
             metrics: String,
@@ -69,7 +46,8 @@
             val samples = HashMap<String, Double>()
             for (line in metrics.lineSequence()) {
                 if (line.startsWith('#')) continue
-                line.substringAfterLast(' ').toDoubleOrNull()?.let { samples[line.substringBeforeLast(' ')] = it }
+                val value = line.substringAfterLast(' ').toDoubleOrNull() ?: continue
+                samples[line.substringBeforeLast(' ')] = value
             }
             val term = samples[exported(RecoveryMetrics.TERM)] ?: return ControllerAnswer.NotTracked(address)
             if (term == 0.0) return ControllerAnswer.NotLeader(address)
@@ -80,25 +58,26 @@
             fun count(name: String) = samples[exported(name)]?.toInt() ?: 0
 
             fun time(name: String) = samples[exported(name)]?.takeIf { it.isFinite() }?.seconds
+
             return RecoverySnapshot(
                 term = Term(count(RecoveryMetrics.TERM).toLong()),
                 phase = RecoveryPhase.entries[count(RecoveryMetrics.PHASE)],
                 elapsed = time(RecoveryMetrics.ELAPSED) ?: Duration.ZERO,
                 recordedTasks = count(RecoveryMetrics.RECORDED_TASKS),
-                unheardMachines = count(RecoveryMetrics.UNHEARD_MACHINES),
-                unheardTasks = count(RecoveryMetrics.UNHEARD_TASKS),
+                unreconciledMachines = count(RecoveryMetrics.UNRECONCILED_MACHINES),
+                unreconciledTasks = count(RecoveryMetrics.UNRECONCILED_TASKS),
                 lostTasks = count(RecoveryMetrics.LOST_TASKS),
                 findings = findings(samples),
-                firstAdoption = time(RecoveryMetrics.FIRST_ADOPTION),
-                mostAccountedFor = time(RecoveryMetrics.MOST_ACCOUNTED_FOR),
-                settled = time(RecoveryMetrics.SETTLED),
+                firstAdoptionAfter = time(RecoveryMetrics.FIRST_ADOPTION),
+                mostAccountedForAfter = time(RecoveryMetrics.MOST_ACCOUNTED_FOR),
+                completedAfter = time(RecoveryMetrics.COMPLETED),
             )
         }
 
         private fun findings(samples: Map<String, Double>): Map<ReconciliationFinding, Int> =
             ReconciliationFinding.entries
                 .associateWith { finding ->
-                    val label = "${RecoveryMetrics.FINDING_TAG}=\"${finding.name.lowercase()}\""
+                    val label = "${RecoveryMetrics.FINDING_TAG}=\"${finding.jsonName}\""
                     samples["${exported(RecoveryMetrics.FINDINGS)}{$label}"]?.toInt() ?: 0
                 }.filterValues { it > 0 }
 
--- a/src/main/kotlin/umberslip/recovery/ReconciliationFinding.kt
+++ b/src/main/kotlin/umberslip/recovery/ReconciliationFinding.kt
@@ -10,14 +10,14 @@
 
 /** What the leader does about a task, once it knows how the records and the machine's heartbeat compare. */
 enum class ReconciliationDecision {
-    /** It runs on; nothing is ordered. */
-    KEEP,
+    /** It goes on running; no command is needed. */
+    CONTINUE,
 
-    /** Its end is written, and only then is it cleared from the machine. */
-    RECORD_END,
+    /** Its exit is written, and only then is it cleared from the machine. */
+    RECORD_EXIT,
 
-    /** The start was recorded and did not arrive: it is told again under the same attempt number. */
-    TELL_START_AGAIN,
+    /** The start was recorded and did not arrive: the command is repeated under the same attempt number. */
+    REPEAT_START,
 
     /** It is certainly not on the machine and should not be: the recorded start is withdrawn. */
     WITHDRAW,
@@ -27,39 +27,42 @@
 }
 
 /**
- * How a new leader finds a task, by the records that it took over and by the first heartbeat that proves what is on the
- * task's machine. Each finding has one decision. It is taken with the answer to that report; until such a heartbeat
- * comes, the task counts as running (see [RecoveryTracker.unheardMachines]).
+ * How a new leader finds a task, by the records that it loaded and by the first heartbeat that shows what is on the
+ * task's machine. Each finding has one decision. It is taken with the response to that heartbeat; before, the task
+ * counts as running (see [RecoveryTracker.unreconciledMachines]).
+ *
+ * [jsonName] is published in JSON and as a metric's tag, and stays when a constant is renamed.
  */
 enum class ReconciliationFinding(
     val decision: ReconciliationDecision,
+    val jsonName: String,
 ) {
     /** Recorded, and the machine has it under the recorded attempt. */
-    ADOPTED(ReconciliationDecision.KEEP),
+    ADOPTED(ReconciliationDecision.CONTINUE, "adopted"),
 
-    /** Recorded, and the machine heartbeats that it ended; the records do not say so yet. */
-    END_UNRECORDED(ReconciliationDecision.RECORD_END),
+    /** Recorded, and the machine reports that it exited; the records do not say so yet. */
+    EXIT_UNRECORDED(ReconciliationDecision.RECORD_EXIT, "end_unrecorded"),
 
     /** Recorded, and still on the machine though its job was cancelled. */
-    CANCELLED(ReconciliationDecision.STOP),
+    CANCELLED(ReconciliationDecision.STOP, "cancelled"),
 
-    /** Recorded, and not on the machine: the order to start it was lost, or a lease that ran out killed it. */
-    NOT_REPORTED(ReconciliationDecision.TELL_START_AGAIN),
+    /** Recorded, and not on the machine: the command to start it was lost, or a lease expiry stopped it. */
+    NOT_REPORTED(ReconciliationDecision.REPEAT_START, "not_reported"),
 
     /** As [NOT_REPORTED], of a job that was cancelled. */
-    NOT_REPORTED_CANCELLED(ReconciliationDecision.WITHDRAW),
+    NOT_REPORTED_CANCELLED(ReconciliationDecision.WITHDRAW, "not_reported_cancelled"),
 
     /** On the machine though the records say that it is done. */
-    DONE_RUNNING(ReconciliationDecision.STOP),
-    DONE_ENDED(ReconciliationDecision.CLEAR),
+    DONE_RUNNING(ReconciliationDecision.STOP, "done_running"),
+    DONE_EXITED(ReconciliationDecision.CLEAR, "done_ended"),
 
     /** On the machine under an attempt that is not recorded there: another one is, or none. */
-    OTHER_ATTEMPT_RUNNING(ReconciliationDecision.STOP),
-    OTHER_ATTEMPT_ENDED(ReconciliationDecision.CLEAR),
+    OTHER_ATTEMPT_RUNNING(ReconciliationDecision.STOP, "other_attempt_running"),
+    OTHER_ATTEMPT_EXITED(ReconciliationDecision.CLEAR, "other_attempt_ended"),
 
-    /** Of a job without a record: it has ended and its end is kept elsewhere, or it was never accepted. */
-    JOB_UNKNOWN_RUNNING(ReconciliationDecision.STOP),
-    JOB_UNKNOWN_ENDED(ReconciliationDecision.CLEAR),
+    /** Of a job without a record: it has finished and its outcome is stored elsewhere, or it was never accepted. */
+    JOB_UNKNOWN_RUNNING(ReconciliationDecision.STOP, "job_unknown_running"),
+    JOB_UNKNOWN_EXITED(ReconciliationDecision.CLEAR, "job_unknown_ended"),
     ;
 
     companion object {
@@ -90,21 +93,21 @@
             recorded: Assignment?,
             job: RunningJob?,
         ): ReconciliationFinding {
-            val ended = reported.status == TaskState.EXITED
+            val hasExited = reported.status == TaskState.EXITED
             return when {
-                recorded != null && recorded.attempt == reported.attempt -> ofRecorded(recorded, ended)
-                job == null -> if (ended) JOB_UNKNOWN_ENDED else JOB_UNKNOWN_RUNNING
-                job.isDone(reported.task.index) -> if (ended) DONE_ENDED else DONE_RUNNING
-                else -> if (ended) OTHER_ATTEMPT_ENDED else OTHER_ATTEMPT_RUNNING
+                recorded != null && recorded.attempt == reported.attempt -> ofRecorded(recorded, hasExited)
+                job == null -> if (hasExited) JOB_UNKNOWN_EXITED else JOB_UNKNOWN_RUNNING
+                job.isDone(reported.task.index) -> if (hasExited) DONE_EXITED else DONE_RUNNING
+                else -> if (hasExited) OTHER_ATTEMPT_EXITED else OTHER_ATTEMPT_RUNNING
             }
         }
 
         private fun ofRecorded(
             recorded: Assignment,
-            ended: Boolean,
+            hasExited: Boolean,
         ): ReconciliationFinding =
             when {
-                ended -> END_UNRECORDED
+                hasExited -> EXIT_UNRECORDED
                 recorded.job.cancelled -> CANCELLED
                 else -> ADOPTED
             }
--- a/src/main/kotlin/umberslip/recovery/RecordedWork.kt
+++ b/src/main/kotlin/umberslip/recovery/RecordedWork.kt
@@ -22,22 +22,27 @@
     val attempt: Long,
 )
 
-/** What a new leader would take over at one moment, as the key-value store's records say. */
+/** What a new leader would load at one moment from the records in the key-value store. */
 class RecordedWork(
+    /** The member that leads; null for none. */
     val leader: String?,
     val term: Term,
+    /** Jobs that have not finished, the [cancelled] ones included. */
     val jobs: Set<JobId>,
+    /** Cancelled jobs with tasks that are still to be stopped. */
     val cancelled: Set<JobId>,
+    /** How many tasks of each job are recorded as done. */
     val doneTasks: Map<JobId, Int>,
+    /** Tasks that count as running. */
     val starts: Map<TaskId, RecordedStart>,
-    /** Keys that are left alone since their records cannot be read. */
+    /** Keys that are left alone since their records are unreadable. */
     val unreadable: Set<String>,
 ) {
     val unfinishedJobs: Int get() = jobs.size - cancelled.size
 
     val machinesWithTasks: Int get() = starts.values.mapTo(HashSet()) { it.machineName }.size
 
-    /** In lines, for people. */
+    /** In lines, for people; operators' scripts may read them, too. */
     fun toText(): List<String> =
         listOf(
             "records: owner ${leader ?: "nobody"}, term ${term.value}",
--- a/src/main/kotlin/umberslip/recovery/RecoveryMonitor.kt
+++ b/src/main/kotlin/umberslip/recovery/RecoveryMonitor.kt
@@ -11,6 +11,7 @@
     private val clock: Clock,
     metrics: MeterRegistry,
 ) : LeaderTermListener {
+    /** Null while this controller does not lead. */
     private var current: RecoveryTracker? = null
 
     init {
--- a/src/main/kotlin/umberslip/recovery/RecoveryTracker.kt
+++ b/src/main/kotlin/umberslip/recovery/RecoveryTracker.kt
@@ -11,66 +11,39 @@
 import java.util.EnumMap
 import kotlin.time.Duration
 
-/** How far a new leader has come with comparing the records to what is on the machines. */
-enum class RecoveryPhase {
-    /** No machine with recorded tasks has reported yet. */
-    WAITING,
-
-    /** Some have, others are still to be heard or to be given up. */
-    ADOPTING,
-
-    /** Every recorded start is accounted for. */
-    SETTLED,
-}
-
-/** A recovery at one moment, as operators see it. Times are counted from the takeover. */
-data class RecoverySnapshot(
-    val term: Term,
-    val phase: RecoveryPhase,
-    val elapsed: Duration,
-    val recordedTasks: Int,
-    val unheardMachines: Int,
-    /** Tasks recorded on machines that are still unheard: they count as running until these are certainly gone. */
-    val unheardTasks: Int,
-    /** Tasks recorded on machines that were given up: they wait to be started again. */
-    val lostTasks: Int,
-    val findings: Map<ReconciliationFinding, Int>,
-    val firstAdoption: Duration?,
-    val mostAccountedFor: Duration?,
-    val settled: Duration?,
-)
-
 /**
- * Follows the recovery of one term: which machines with recorded tasks are still unheard, and what was found on the
- * others. It decides nothing and keeps no more than one entry for each unheard machine. Pure: time is an input.
+ * Follows the recovery of one term, which began at [electedAt]: which machines with recorded tasks are still
+ * unreconciled, and what was found on the others. It decides nothing and has one entry for each unreconciled machine
+ * at most. Pure: time is an input.
  */
 class RecoveryTracker(
     private val term: Term,
-    private val beganAt: Duration,
+    private val electedAt: Duration,
 ) : ReconciliationObserver {
     private val log = LoggerFactory.getLogger("umberslip.recovery")
 
-    /** How many starts are recorded on each machine that has not been heard. */
-    private val unheard = HashMap<MachineName, Int>()
+    /** How many starts are recorded on each unreconciled machine. */
+    private val unreconciled = HashMap<MachineName, Int>()
     private val findings = EnumMap<ReconciliationFinding, Int>(ReconciliationFinding::class.java)
-    private var totalTasks = 0
-    private var unheardTasks = 0
+    private var recordedTasks = 0
+    private var unreconciledTasks = 0
     private var lostTasks = 0
-    private var anyHeard = false
+    private var anyReconciled = false
     private var firstAdoptionAt: Duration? = null
     private var mostAccountedForAt: Duration? = null
-    private var settledAt: Duration? = null
+    private var completedAt: Duration? = null
 
-    val unheardMachines: Set<MachineName> get() = unheard.keys
+    /** Machines with recorded tasks whose first heartbeat of this term is still to come. */
+    val unreconciledMachines: Set<MachineName> get() = unreconciled.keys
 
     override fun recordsLoaded(
         recordedTasks: Map<MachineName, Int>,
         now: Duration,
     ) {
-        unheard.putAll(recordedTasks)
-        totalTasks = recordedTasks.values.sum()
-        unheardTasks = totalTasks
-        accounted(now)
+        unreconciled.putAll(recordedTasks)
+        this.recordedTasks = recordedTasks.values.sum()
+        unreconciledTasks = this.recordedTasks
+        updateProgress(now)
     }
 
     override fun machineReconciled(
@@ -80,64 +53,65 @@
         now: Duration,
     ) = reconciled(machine.name, ReconciliationFinding.of(machine, reported, jobs).values, now)
 
-    /** A heartbeat has proved, for the first time in this term, what is on [machineName]. */
+    /** A heartbeat has shown, for the first time in this term, what is on [machineName]. */
     fun reconciled(
         machineName: MachineName,
         found: Collection<ReconciliationFinding>,
         now: Duration,
     ) {
         for (finding in found) findings.merge(finding, 1, Int::plus)
-        unheardTasks -= unheard.remove(machineName) ?: 0
-        anyHeard = true
+        unreconciledTasks -= unreconciled.remove(machineName) ?: 0
+        anyReconciled = true
         if (firstAdoptionAt == null && ReconciliationFinding.ADOPTED in found) firstAdoptionAt = now
-        accounted(now)
+        updateProgress(now)
     }
 
     override fun machineLost(
         name: MachineName,
         now: Duration,
     ) {
-        val tasks = unheard.remove(name) ?: return
-        unheardTasks -= tasks
+        val tasks = unreconciled.remove(name) ?: return
+        unreconciledTasks -= tasks
         lostTasks += tasks
-        accounted(now)
+        updateProgress(now)
     }
 
-    private fun accounted(now: Duration) {
-        if (mostAccountedForAt == null && (totalTasks - unheardTasks) >= totalTasks * MOST) {
+    private fun updateProgress(now: Duration) {
+        if (mostAccountedForAt == null && (recordedTasks - unreconciledTasks) >= recordedTasks * MOST) {
             mostAccountedForAt = now
         }
-        if (settledAt != null || unheard.isNotEmpty()) return
-        settledAt = now
+        if (completedAt != null || unreconciled.isNotEmpty()) return
+        completedAt = now
         log.info(
-            "recovery under term {} settled after {}: {} recorded tasks, {} lost with their machines, found {}",
+            "recovery completed: term={} after={} recorded_tasks={} lost_tasks={} findings={}",
             term.value,
-            now - beganAt,
-            totalTasks,
+            now - electedAt,
+            recordedTasks,
             lostTasks,
-            findings,
+            findings.mapKeys { it.key.jsonName },
         )
     }
 
+    /** The state at [now], which does not change with the tracker. */
     fun snapshot(now: Duration) =
         RecoverySnapshot(
             term = term,
             phase = phase(),
-            elapsed = now - beganAt,
-            recordedTasks = totalTasks,
-            unheardMachines = unheard.size,
-            unheardTasks = unheardTasks,
+            elapsed = now - electedAt,
+            recordedTasks = recordedTasks,
+            unreconciledMachines = unreconciled.size,
+            unreconciledTasks = unreconciledTasks,
             lostTasks = lostTasks,
-            findings = EnumMap<ReconciliationFinding, Int>(ReconciliationFinding::class.java).also { it.putAll(findings) },
-            firstAdoption = firstAdoptionAt?.minus(beganAt),
-            mostAccountedFor = mostAccountedForAt?.minus(beganAt),
-            settled = settledAt?.minus(beganAt),
+            findings = EnumMap(findings),
+            firstAdoptionAfter = firstAdoptionAt?.minus(electedAt),
+            mostAccountedForAfter = mostAccountedForAt?.minus(electedAt),
+            completedAfter = completedAt?.minus(electedAt),
         )
 
     private fun phase(): RecoveryPhase =
         when {
-            settledAt != null -> RecoveryPhase.SETTLED
-            anyHeard -> RecoveryPhase.ADOPTING
+            completedAt != null -> RecoveryPhase.COMPLETED
+            anyReconciled -> RecoveryPhase.ADOPTING
             else -> RecoveryPhase.WAITING
         }
 
--- a/src/main/kotlin/umberslip/recovery/archive/ArchiveFile.kt
+++ b/src/main/kotlin/umberslip/recovery/archive/ArchiveFile.kt
@@ -27,11 +27,16 @@
  * SHA-256 of all lines before it.
  */
 object ArchiveFile {
-    private const val LEVEL = 9
+    /** Archives are small and rare: size counts more than time. */
+    private const val COMPRESSION_LEVEL = 9
+
     private const val RECORDS = "records"
     private const val CHECKSUM = "sha256"
 
-    /** The file is there whole, or not at all: it is written under another name first. */
+    /**
+     * Writes [archive], replacing a [file] of that name. It is there whole or not at all: it is written under another
+     * name first. Throws [IOException].
+     */
     fun write(
         archive: RecordArchive,
         file: Path,
@@ -61,7 +66,7 @@
         file: Path,
     ) {
         val checksum = Checksum()
-        val compressed = ZstdOutputStream(Files.newOutputStream(file), LEVEL).setChecksum(true)
+        val compressed = ZstdOutputStream(Files.newOutputStream(file), COMPRESSION_LEVEL).setChecksum(true)
         BufferedWriter(compressed.writer(StandardCharsets.UTF_8)).use { out ->
             fun writeLine(line: Map<String, Any?>) {
                 val text = Documents.writeJson(line)
@@ -76,15 +81,15 @@
         }
     }
 
-    /** All of an archive, checked, or an [ArchiveException]; an [IOException] only where the file cannot be opened. */
+    /** Reads and checks all of an archive, or throws [ArchiveException]; [IOException] where the file cannot be read. */
     fun read(file: Path): RecordArchive {
         val input = Files.newInputStream(file)
         return try {
-            // A decoder of one's own refuses what is no UTF-8; a charset's replaces it.
+            // A decoder of its own refuses what is not UTF-8; a charset's would replace it.
             val text = InputStreamReader(ZstdInputStream(input), StandardCharsets.UTF_8.newDecoder())
             BufferedReader(text).use(::readLines)
         } catch (_: EOFException) {
-            throw ArchiveException.Torn("the compressed data ends early")
+            throw ArchiveException.Incomplete("the compressed data ends early")
         } catch (e: ZstdIOException) {
             throw decompressionFailed(e)
         } catch (_: CharacterCodingException) {
@@ -92,21 +97,21 @@
         }
     }
 
-    private fun decompressionFailed(e: ZstdIOException): ArchiveException =
+    private fun decompressionFailed(cause: ZstdIOException): ArchiveException =
         when {
-            "Truncated" in e.message.orEmpty() -> ArchiveException.Torn("the compressed data ends early")
-            "Unknown frame descriptor" in e.message.orEmpty() -> ArchiveException.NotAnArchive("no Zstandard data")
-            else -> ArchiveException.Corrupt(e.message ?: "it cannot be decompressed")
+            "Truncated" in cause.message.orEmpty() -> ArchiveException.Incomplete("the compressed data ends early")
+            "Unknown frame descriptor" in cause.message.orEmpty() -> ArchiveException.NotAnArchive("no Zstandard data")
+            else -> ArchiveException.Corrupt(cause.message ?: "it cannot be decompressed")
         }
 
     private fun readLines(lines: BufferedReader): RecordArchive {
         val checksum = Checksum()
-        val first = lines.readLine() ?: throw ArchiveException.Torn("it is empty")
+        val first = lines.readLine() ?: throw ArchiveException.Incomplete("it is empty")
         val header = parse(first) { ArchiveHeader.parse(it) }
         checksum.add(first)
         val entries = ArrayList<Entry>()
-        // A line behind; the last one is the footer.
-        var line = lines.readLine() ?: throw ArchiveException.Torn("it has no footer")
+        // A record is known as one once another line follows: the last line is the footer.
+        var line = lines.readLine() ?: throw ArchiveException.Incomplete("it has no footer")
         while (true) {
             val next = lines.readLine() ?: break
             entries += parse(line, ArchiveLine::parse)
@@ -122,7 +127,7 @@
         records: Int,
         checksum: Checksum,
     ) = parse(line) { footer ->
-        if (!footer.has(CHECKSUM)) throw ArchiveException.Torn("its last line is no footer")
+        if (!footer.has(CHECKSUM)) throw ArchiveException.Incomplete("its last line is no footer")
         if (footer.long(RECORDS) != records.toLong()) {
             throw ArchiveException.Corrupt("it has $records records and should have ${footer.long(RECORDS)}")
         }
--- a/src/main/kotlin/umberslip/recovery/archive/RecordArchive.kt
+++ b/src/main/kotlin/umberslip/recovery/archive/RecordArchive.kt
@@ -14,12 +14,13 @@
     /** The key-value store's revision when the first record was read; later records may show later changes. */
     val revision: Long,
 ) {
+    /** The header as the first line of a file. */
     fun toMap(): Map<String, Any?> =
         mapOf(
-            "format" to FORMAT,
-            "version" to VERSION,
-            "taken" to taken.toString(),
-            "revision" to revision,
+            FORMAT_FIELD to FORMAT,
+            VERSION_FIELD to VERSION,
+            TAKEN_FIELD to taken.toString(),
+            REVISION_FIELD to revision,
         )
 
     companion object {
@@ -28,22 +29,28 @@
         /** Rises when older readers would misunderstand a file; new fields may come at any time. */
         const val VERSION = 1L
 
+        private const val FORMAT_FIELD = "format"
+        private const val VERSION_FIELD = "version"
+        private const val TAKEN_FIELD = "taken"
+        private const val REVISION_FIELD = "revision"
+
+        /** Throws [ArchiveException], or [MalformedMessageException] for a field that is missing or wrong. */
         fun parse(fields: Fields): ArchiveHeader {
-            if (fields.textOrNull("format") != FORMAT) throw ArchiveException.NotAnArchive("its format is another")
-            val version = fields.long("version")
+            if (fields.textOrNull(FORMAT_FIELD) != FORMAT) throw ArchiveException.NotAnArchive("its format is another")
+            val version = fields.long(VERSION_FIELD)
             if (version != VERSION) throw ArchiveException.UnsupportedVersion(version)
             val taken =
                 try {
-                    Instant.parse(fields.text("taken"))
+                    Instant.parse(fields.text(TAKEN_FIELD))
                 } catch (_: DateTimeParseException) {
                     throw ArchiveException.Corrupt("its time cannot be read")
                 }
-            return ArchiveHeader(taken, fields.long("revision"))
+            return ArchiveHeader(taken, fields.long(REVISION_FIELD))
         }
     }
 }
 
-/** The records of the key-value store at one moment, as kept in a file. */
+/** The records of the key-value store at one moment, as [ArchiveFile] reads and writes them. */
 data class RecordArchive(
     val header: ArchiveHeader,
     val entries: List<Entry>,
@@ -52,41 +59,22 @@
     fun replica(): RecordReplica = RecordReplica().also { it.replace(entries) }
 }
 
-/** Why a file is not read as an archive. No part of such a file is used. */
-sealed class ArchiveException(
-    message: String,
-) : Exception(message) {
-    class NotAnArchive(
-        why: String,
-    ) : ArchiveException("not an archive of records: $why")
-
-    class UnsupportedVersion(
-        version: Long,
-    ) : ArchiveException("an archive of version $version; this program reads version ${ArchiveHeader.VERSION}")
-
-    /** It ends before its footer: it was being written, or copied, when something failed. */
-    class Torn(
-        why: String,
-    ) : ArchiveException("the archive is incomplete: $why")
-
-    /** Its contents are not what was written. */
-    class Corrupt(
-        why: String,
-    ) : ArchiveException("the archive is damaged: $why")
-}
-
 /** A record as a line of an archive. */
 internal object ArchiveLine {
+    private const val KEY = "path"
+    private const val VERSION = "stamp"
+    private const val DATA = "data"
+
     fun of(entry: Entry): Map<String, Any?> =
         mapOf(
-            "path" to entry.key,
-            "stamp" to entry.version.value,
-            "data" to entry.data,
+            KEY to entry.key,
+            VERSION to entry.version.value,
+            DATA to entry.data,
         )
 
     fun parse(fields: Fields): Entry =
         try {
-            Entry(fields.text("path"), fields.raw()["data"], Version(fields.long("stamp")))
+            Entry(fields.text(KEY), fields.raw()[DATA], Version(fields.long(VERSION)))
         } catch (e: MalformedMessageException) {
             throw ArchiveException.Corrupt("a record cannot be read: ${e.message}")
         }
--- a/src/main/kotlin/umberslip/recovery/archive/RecordComparison.kt
+++ b/src/main/kotlin/umberslip/recovery/archive/RecordComparison.kt
@@ -7,38 +7,48 @@
 import umberslip.recovery.RecordedStart
 import umberslip.recovery.RecordedWork
 
-/** What became of a task whose start was recorded before. */
-enum class TaskChange {
+/**
+ * What happened to a task whose start was recorded before. [jsonName] is published and stays when a constant is renamed.
+ */
+enum class TaskChange(
+    val jsonName: String,
+) {
     /** On the same machine under the same attempt. */
-    RAN_ON,
+    CONTINUED("ran_on"),
 
-    /** Under a later attempt, on the same machine or another: its work was begun anew, or continued from a save. */
-    STARTED_AGAIN,
+    /** Under a later attempt, on the same machine or another: it began from the start, or from a checkpoint. */
+    RESTARTED("started_again"),
 
-    /** No start is recorded any more, and its job has not ended: it is done or waits. */
-    NOT_PLACED,
+    /** No start is recorded any more, and its job has not finished: the task is done or waits. */
+    NOT_PLACED("not_placed"),
 
-    /** Its job's record is gone. */
-    JOB_ENDED,
+    /** Its job has no record any more. */
+    JOB_FINISHED("job_ended"),
 }
 
-/** What changed between two moments, as the records show it: for the shift that comes after a failure. */
+/** What changed between two moments, as the records show it: for those on call after a failure. */
 class RecordComparison(
     private val before: RecordedWork,
     private val after: RecordedWork,
 ) {
+    /** The tasks whose start was recorded before. */
     val tasks: Map<TaskId, TaskChange> = before.starts.mapValues { (task, start) -> change(task, start) }
 
+    /** How many tasks have a recorded start after and had none before. */
     val newStarts: Int = after.starts.keys.count { it !in before.starts }
 
-    /** Machines with recorded tasks before and none now, and the reverse. */
+    /** Machines with recorded tasks before and none after. */
     val emptiedMachines: Set<MachineName> = machines(before) - machines(after)
+
+    /** Machines with recorded tasks after and none before. */
     val newMachines: Set<MachineName> = machines(after) - machines(before)
-    val endedJobs: Set<JobId> = before.jobs - after.jobs
+
+    /** Jobs that had a record before and have none after. */
+    val finishedJobs: Set<JobId> = before.jobs - after.jobs
     val newJobs: Set<JobId> = after.jobs - before.jobs
     val newlyCancelledJobs: Set<JobId> = after.cancelled - before.cancelled
 
-    /** Jobs with fewer recorded ends than before. There is no way to that but damage, so it is looked for. */
+    /** Jobs with fewer tasks recorded as done than before. Nothing but damage leads to that, so it is looked for. */
     val lostProgress: Set<JobId> =
         (before.jobs intersect after.jobs).filterTo(HashSet()) {
             (after.doneTasks[it] ?: 0) < (before.doneTasks[it] ?: 0)
@@ -50,27 +60,28 @@
         task: TaskId,
         start: RecordedStart,
     ): TaskChange {
-        val now = after.starts[task]
+        val startAfter = after.starts[task]
         return when {
-            now == start -> TaskChange.RAN_ON
-            now != null -> TaskChange.STARTED_AGAIN
+            startAfter == start -> TaskChange.CONTINUED
+            startAfter != null -> TaskChange.RESTARTED
             task.job in after.jobs -> TaskChange.NOT_PLACED
-            else -> TaskChange.JOB_ENDED
+            else -> TaskChange.JOB_FINISHED
         }
     }
 
     fun count(change: TaskChange): Int = tasks.values.count { it == change }
 
+    /** In lines, for people. */
     fun toText(): String =
         buildList {
             add("owner: ${describe(before)} before, ${describe(after)} after")
-            add("jobs: ${endedJobs.size} ended, ${newJobs.size} came, ${newlyCancelledJobs.size} were cancelled")
+            add("jobs: ${finishedJobs.size} ended, ${newJobs.size} came, ${newlyCancelledJobs.size} were cancelled")
             add("tasks that were started before: ${before.starts.size}")
-            for (change in TaskChange.entries) add("  ${name(change)}: ${count(change)}")
+            for (change in TaskChange.entries) add("  ${change.jsonName.replace('_', ' ')}: ${count(change)}")
             add("tasks started since: $newStarts")
             add("machines: ${emptiedMachines.size} have no tasks any more, ${newMachines.size} have some now")
-            tasks.filterValues { it == TaskChange.STARTED_AGAIN }.keys.sortedBy { it.toString() }.forEach {
-                add("  started again: $it, ${place(before, it)} before, ${place(after, it)} after")
+            for (task in tasks.filterValues { it == TaskChange.RESTARTED }.keys.sortedBy { it.toString() }) {
+                add("  started again: $task, ${place(before, task)} before, ${place(after, task)} after")
             }
             for (job in lostProgress.sortedBy { it.value }) {
                 add("LOST PROGRESS: ${job.value} has fewer tasks done than before")
@@ -79,23 +90,22 @@
 
     private fun describe(work: RecordedWork) = "${work.leader ?: "nobody"} (term ${work.term.value})"
 
-    private fun name(change: TaskChange) = change.name.lowercase().replace('_', ' ')
-
     private fun place(
         work: RecordedWork,
         task: TaskId,
     ) = work.starts.getValue(task).let { "${it.machineName.value} as attempt ${it.attempt}" }
 
+    /** For programs. */
     fun toJson(): String =
         Documents.writeJson(
             mapOf(
                 "version" to FORMAT_VERSION,
                 "before" to leader(before),
                 "after" to leader(after),
-                "tasks" to TaskChange.entries.associate { it.name.lowercase() to count(it) },
+                "tasks" to TaskChange.entries.associate { it.jsonName to count(it) },
                 "new_starts" to newStarts,
-                "started_again" to startedAgain(),
-                "ended_jobs" to names(endedJobs),
+                "started_again" to restarted(),
+                "ended_jobs" to names(finishedJobs),
                 "new_jobs" to names(newJobs),
                 "cancelled_jobs" to names(newlyCancelledJobs),
                 "lost_progress" to names(lostProgress),
@@ -104,9 +114,9 @@
             ),
         )
 
-    private fun startedAgain(): List<String> =
+    private fun restarted(): List<String> =
         tasks
-            .filterValues { it == TaskChange.STARTED_AGAIN }
+            .filterValues { it == TaskChange.RESTARTED }
             .keys
             .map { it.toString() }
             .sorted()
--- a/src/test/kotlin/umberslip/loopback/FullRestartTest.kt
+++ b/src/test/kotlin/umberslip/loopback/FullRestartTest.kt
@@ -55,7 +55,7 @@
             val theirs = scenario.workers.tasksOn(silent)
             assertTrue(theirs.isNotEmpty(), "the silent workers have tasks")
             scenario.workers.silence(silent, 3600.seconds)
-            scenario.awaitUntil("nobody owns") { scenario.recovery().exitCode == RecoveryStatus.NO_OWNER.exitCode }
+            scenario.awaitUntil("nobody owns") { scenario.recovery().exitCode == RecoveryStatus.NO_LEADER.exitCode }
             val atTheFall = directory.resolve("fall.zst")
             scenario.saveRecords(atTheFall)
             scenario.controllers.startAll()
@@ -65,7 +65,7 @@
                 scenario.workers.events().any { it is WorkerEvent.Began && it.at > fell }
             }
             scenario.workers.silence(silent, 0.seconds)
-            scenario.awaitUntil("settled") { scenario.recovery().exitCode == RecoveryStatus.SETTLED.exitCode }
+            scenario.awaitUntil("settled") { scenario.recovery().exitCode == RecoveryStatus.COMPLETED.exitCode }
             val recovery = scenario.recovery()
             val accounted =
                 listOf("adopted", "end_unrecorded", "not_reported", "not_reported_cancelled").sumOf(recovery::finding)
@@ -108,7 +108,7 @@
             assertTrue(lost.isNotEmpty(), "tasks are lost")
             scenario.cloud.takeBack(taken)
             scenario.controllers.startAll()
-            scenario.awaitUntil("settled") { scenario.recovery().exitCode == RecoveryStatus.SETTLED.exitCode }
+            scenario.awaitUntil("settled") { scenario.recovery().exitCode == RecoveryStatus.COMPLETED.exitCode }
             scenario.awaitJobs()
             scenario.checkRuns(mayRunAgain = lost)
         }
--- a/src/test/kotlin/umberslip/recovery/GeneratedRestartsTest.kt
+++ b/src/test/kotlin/umberslip/recovery/GeneratedRestartsTest.kt
@@ -16,11 +16,11 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * All controllers fall, again and again, for a fraction of a second to well over every lease, and meet other troubles
- * on their way back. The protocol's rules are checked all the time, and in the end every job has ended.
+ * All controllers stop, again and again, for a fraction of a second to well past every lease expiry, and meet other
+ * failures while they restart. The protocol's rules are checked all the time, and in the end every job has finished.
  */
 class GeneratedRestartsTest {
-    private class Falls(
+    private class Restarts(
         seed: Int,
     ) {
         val random = Random(seed)
@@ -44,25 +44,26 @@
             }
 
         /** From a fraction of a second to longer than a cancellation may take. */
-        private fun darkness(): Duration =
+        private fun outage(): Duration =
             when (random.nextInt(4)) {
                 0 -> random.nextInt(100, 1000).milliseconds
                 1 -> random.nextInt(1, 9).seconds
-                // Leases are over, or just not.
+                // Leases have expired, or are just about to.
                 2 -> random.nextInt(9_000, 11_500).milliseconds
                 else -> random.nextInt(12, 60).seconds
             }
 
-        fun fall() {
+        /** Stops all controllers for a while and starts them again. */
+        fun restartAll() {
             if (random.nextBoolean()) cancelSome(4)
             (0..2).forEach(cluster::stopController)
             if (random.nextInt(3) == 0) cluster.store.out = true
-            val dark = darkness()
-            cluster.run(dark / 2)
-            meanwhile()
-            cluster.run(dark / 2)
+            val outage = outage()
+            cluster.run(outage / 2)
+            failWhileStopped()
+            cluster.run(outage / 2)
             if (random.nextInt(3) == 0) cluster.lateWrites = 0.15
-            comeBack()
+            startControllers()
             cluster.store.out = false
             pause(random.nextInt(1, 6))
             cancelSome(2)
@@ -75,7 +76,7 @@
                 .take(count)
                 .forEach(cluster::cancel)
 
-        private fun meanwhile() {
+        private fun failWhileStopped() {
             val machines = cluster.upMachines().shuffled(random)
             when (random.nextInt(6)) {
                 0 -> machines.take(machines.size * 2 / 3).forEach(cluster::kill)
@@ -87,12 +88,12 @@
             }
         }
 
-        /** One by one and far apart, some to fall again; or all at once. */
-        private fun comeBack() {
-            val apart = if (random.nextBoolean()) 15_000 else 500
+        /** One by one and far apart, some to stop again; or nearly at once. */
+        private fun startControllers() {
+            val maxMillisApart = if (random.nextBoolean()) 15_000 else 500
             for (controller in (0..2).shuffled(random)) {
                 cluster.startController(controller)
-                cluster.run(random.nextInt(50, apart).milliseconds)
+                cluster.run(random.nextInt(50, maxMillisApart).milliseconds)
                 if (random.nextInt(4) > 0) continue
                 cluster.stopController(controller)
                 cluster.run(random.nextInt(50, 1500).milliseconds)
@@ -103,31 +104,32 @@
 
     @ParameterizedTest
     @MethodSource("seeds")
-    fun `no rule breaks and nothing is left over`(seed: Int) {
-        val falls = Falls(seed)
-        val cluster = falls.cluster
+    fun `no rule is broken and every job finishes`(seed: Int) {
+        val restarts = Restarts(seed)
+        val cluster = restarts.cluster
         for (i in 0..2) cluster.startController(i)
-        falls.pause(40)
+        restarts.pause(40)
         repeat(3) {
-            falls.fall()
-            falls.pause(falls.random.nextInt(5, 30))
+            restarts.restartAll()
+            restarts.pause(restarts.random.nextInt(5, 30))
         }
         cluster.endFaults()
         val deadline = cluster.now() + 3000.seconds
         while (cluster.finishedJobs + cluster.cancelledJobs < cluster.acceptedJobs && cluster.now() < deadline) {
             cluster.run(5.seconds)
         }
-        val recovery =
+        val completedAfterSeconds =
             cluster
                 .leaderMetrics()
-                ?.find(RecoveryMetrics.SETTLED)
+                ?.find(RecoveryMetrics.COMPLETED)
                 ?.gauge()
                 ?.value() ?: Double.NaN
         cluster.end()
         assertEquals(emptyList<String>(), cluster.violations.take(5))
-        assertEquals(cluster.acceptedJobs, cluster.finishedJobs + cluster.cancelledJobs, "jobs that ended; ${cluster.describe()}")
+        val ended = cluster.finishedJobs + cluster.cancelledJobs
+        assertEquals(cluster.acceptedJobs, ended, "jobs that ended; ${cluster.describe()}")
         assertTrue(cluster.starts > 20, "only ${cluster.starts} tasks started")
-        assertTrue(recovery.isFinite(), "the last recovery settled")
+        assertTrue(completedAfterSeconds.isFinite(), "the last recovery completed")
     }
 
     companion object {
--- a/src/test/kotlin/umberslip/recovery/LossWithoutLeaderTest.kt
+++ b/src/test/kotlin/umberslip/recovery/LossWithoutLeaderTest.kt
@@ -15,26 +15,26 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Most machines are taken back while every controller is away. What is left is less than half, so the silence of the
- * others looks like a cut zone, and without the cloud's list their tasks wait until every lease must be over.
+ * Most machines are lost while every controller is stopped. What is left is less than half, so the others look like a
+ * partitioned zone, and without the cloud's list their tasks wait until every lease must have expired.
  */
 class LossWithoutLeaderTest {
     private class Outcome(
         val lostTasks: Double,
         val adoptedTasks: Double,
-        val settled: Duration,
+        val completedAfter: Duration,
     )
 
     @ParameterizedTest
     @ValueSource(ints = [1, 2, 3, 4, 5, 6])
-    fun `lost tasks wait again as soon as the list must show the loss, and no rule breaks`(seed: Int) {
+    fun `lost tasks wait again as soon as the list must show the loss, and no rule is broken`(seed: Int) {
         val off = play(seed, returnMissing = false)
         val on = play(seed, returnMissing = true)
         assertTrue(on.lostTasks > 50, "only ${on.lostTasks} tasks were lost")
         assertTrue(on.adoptedTasks > 20, "only ${on.adoptedTasks} tasks were adopted")
-        assertEquals(off.lostTasks, on.lostTasks, "no more is given up than what is gone")
-        assertTrue(on.settled <= LISTED, "settled after ${on.settled}")
-        assertTrue(off.settled > LISTED * 3, "without the list after ${off.settled}")
+        assertEquals(off.lostTasks, on.lostTasks, "no more is given up than what is lost")
+        assertTrue(on.completedAfter <= LISTED, "completed after ${on.completedAfter}")
+        assertTrue(off.completedAfter > LISTED * 3, "without the list after ${off.completedAfter}")
     }
 
     private fun play(
@@ -52,16 +52,16 @@
         machines.take(machines.size * 3 / 4).forEach(cluster::kill)
         cluster.run(4.seconds)
         (0..2).forEach(cluster::startController)
-        var settled = Double.NaN
-        while (settled.isNaN() && cluster.now() < 400.seconds) {
+        var completedAfter = Double.NaN
+        while (completedAfter.isNaN() && cluster.now() < 400.seconds) {
             cluster.run(1.seconds)
-            settled = gauge(cluster, RecoveryMetrics.SETTLED) ?: Double.NaN
+            completedAfter = gauge(cluster, RecoveryMetrics.COMPLETED) ?: Double.NaN
         }
         val outcome =
             Outcome(
                 gauge(cluster, RecoveryMetrics.LOST_TASKS) ?: 0.0,
                 gauge(cluster, RecoveryMetrics.FINDINGS, ReconciliationFinding.ADOPTED) ?: 0.0,
-                settled.seconds,
+                completedAfter.seconds,
             )
         cluster.run(60.seconds)
         cluster.end()
@@ -74,7 +74,7 @@
         number: Int,
     ) = Fixtures.unboundJob(random, number).copy(tasks = 12, expectedSeconds = 120.0)
 
-    /** Null while nobody leads, or its term is not the one after the fall. */
+    /** Null while nobody leads, or the term is that from before the controllers were stopped. */
     private fun gauge(
         cluster: SimulatedCluster,
         name: String,
@@ -84,12 +84,12 @@
         val term = metrics.find(RecoveryMetrics.TERM).gauge()?.value() ?: return null
         if (term < 2) return null
         val search = metrics.find(name)
-        if (finding != null) search.tag(RecoveryMetrics.FINDING_TAG, finding.name.lowercase())
+        if (finding != null) search.tag(RecoveryMetrics.FINDING_TAG, finding.jsonName)
         return search.gauge()?.value()
     }
 
     private companion object {
-        /** Twice the list's lag, the margin, the time between lists and what the cloud takes to answer. */
+        /** Twice the list's lag, the margin, the time between lists and what the cloud takes to respond. */
         val LISTED = 20.seconds
     }
 }
--- a/src/test/kotlin/umberslip/recovery/MissingMachinesTest.kt
+++ b/src/test/kotlin/umberslip/recovery/MissingMachinesTest.kt
@@ -17,7 +17,7 @@
     private val settings = Settings.parse(Fixtures.settingsJson("c-0"))
     private val missing = MissingMachines(settings, Timings(settings.workers, Tuning()))
 
-    private class Life(
+    private class Lifetime(
         val name: MachineName,
         val from: Duration,
         val to: Duration,
@@ -25,29 +25,29 @@
 
     /** Lists are up to twice the lag old, and one may be older than the one before. */
     @Test
-    fun `a machine that exists is never taken for gone, whatever the lists' age`() {
+    fun `a machine that exists is never found missing, whatever the lists' age`() {
         var found = 0
         for (seed in 1..500) {
             val random = Random(seed)
-            val lives =
+            val lifetimes =
                 List(8) {
                     val from = random.nextInt(60_000).milliseconds
-                    Life(MachineName("m$it"), from, from + random.nextInt(90_000).milliseconds)
+                    Lifetime(MachineName("m$it"), from, from + random.nextInt(90_000).milliseconds)
                 }
             repeat(40) {
                 val began = random.nextInt(150_000).milliseconds
                 val asOf = began - settings.listLag * random.nextDouble(0.0, 2.0)
-                val listed = lives.filter { it.from <= asOf && asOf < it.to }.mapTo(HashSet()) { it.name }
-                // Known from some time after the rental on; silent for any time.
+                val listed = lifetimes.filter { it.from <= asOf && asOf < it.to }.mapTo(HashSet()) { it.name }
+                // Known from some time after it was provisioned; without contact for any time.
                 val known =
-                    lives.map { life ->
-                        val since = life.from + random.nextInt(20_000).milliseconds
-                        KnownMachine(life.name, since, random.nextInt(30_000).milliseconds)
+                    lifetimes.map { lifetime ->
+                        val since = lifetime.from + random.nextInt(20_000).milliseconds
+                        KnownMachine(lifetime.name, since, random.nextInt(30_000).milliseconds)
                     }
                 for (name in missing.of(began, listed, known)) {
                     found++
-                    val life = lives.first { it.name == name }
-                    assertTrue(life.to <= began, "seed $seed: $name exists until ${life.to}, list of $began")
+                    val lifetime = lifetimes.first { it.name == name }
+                    assertTrue(lifetime.to <= began, "seed $seed: $name exists until ${lifetime.to}, list of $began")
                 }
             }
         }
@@ -55,11 +55,11 @@
     }
 
     @Test
-    fun `it is found in the first list that must show it, unless it was just heard`() {
+    fun `a machine is found missing by the first list that must show it, unless it had contact lately`() {
         val known = KnownMachine(MachineName("m"), 100.seconds, 20.seconds)
-        val heard = KnownMachine(MachineName("n"), 100.seconds, 2.seconds)
-        assertEquals(emptyList<MachineName>(), missing.of(108.seconds, emptySet(), listOf(known, heard)))
-        assertEquals(listOf(known.name), missing.of(110.seconds, emptySet(), listOf(known, heard)))
+        val inContact = KnownMachine(MachineName("n"), 100.seconds, 2.seconds)
+        assertEquals(emptyList<MachineName>(), missing.of(108.seconds, emptySet(), listOf(known, inContact)))
+        assertEquals(listOf(known.name), missing.of(110.seconds, emptySet(), listOf(known, inContact)))
         assertEquals(emptyList<MachineName>(), missing.of(110.seconds, setOf(known.name), listOf(known)))
     }
 }
--- a/src/test/kotlin/umberslip/recovery/ReconciliationFindingTest.kt
+++ b/src/test/kotlin/umberslip/recovery/ReconciliationFindingTest.kt
@@ -16,15 +16,16 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * After every controller fell: generated records and heartbeats disagree, and the leader does what each finding says.
+ * After every controller has stopped: generated records and heartbeats disagree, and the leader does what each finding
+ * says.
  */
 class ReconciliationFindingTest {
     private val seen = EnumSet.noneOf(ReconciliationFinding::class.java)
 
     @Test
-    fun `what the leader orders is the decision of each finding`() {
+    fun `the leader's commands carry out the decision of each finding`() {
         for (seed in 1..300) play(Random(seed))
-        assertEquals(EnumSet.allOf(ReconciliationFinding::class.java), seen, "every finding was brought about")
+        assertEquals(EnumSet.allOf(ReconciliationFinding::class.java), seen, "every finding occurred")
     }
 
     private fun play(random: Random) {
@@ -34,7 +35,7 @@
         former.dispatch("m")
         former.write()
         val started = former.commands("m").filterIsInstance<WorkerCommand.Start>()
-        // What the former leader still learnt and wrote before it fell.
+        // What the former leader still recorded before it stopped.
         val ended = started.filter { random.nextInt(5) == 0 }
         former.heartbeat("m", *ended.map { TestScheduler.ended(it.task, it.attempt, ExitCause.DONE) }.toTypedArray())
         former.now += 2.seconds
@@ -91,7 +92,8 @@
             seen += finding
             val here = commands[task].orEmpty()
             when (finding.decision) {
-                ReconciliationDecision.KEEP, ReconciliationDecision.WITHDRAW -> assertTrue(here.isEmpty(), "$task $finding: $here")
+                ReconciliationDecision.CONTINUE, ReconciliationDecision.WITHDRAW ->
+                    assertTrue(here.isEmpty(), "$task $finding: $here")
                 ReconciliationDecision.STOP -> {
                     val stop = here.single() as WorkerCommand.Stop
                     assertEquals(attempts[task], stop.attempt, "$task $finding")
@@ -100,29 +102,31 @@
                     val clear = here.first() as WorkerCommand.Clear
                     assertEquals(attempts[task], clear.attempt, "$task $finding")
                 }
-                ReconciliationDecision.TELL_START_AGAIN -> {
+                ReconciliationDecision.REPEAT_START -> {
                     val assignment = next.machine("m").assignments.getValue(task)
-                    assertEquals(listOf(assignment.attempt), here.map { (it as WorkerCommand.Start).attempt }, "$task $finding")
+                    val startedAttempts = here.map { (it as WorkerCommand.Start).attempt }
+                    assertEquals(listOf(assignment.attempt), startedAttempts, "$task $finding")
                 }
-                ReconciliationDecision.RECORD_END -> assertTrue(here.isEmpty(), "$task is not cleared before its end is written")
+                ReconciliationDecision.RECORD_EXIT ->
+                    assertTrue(here.isEmpty(), "$task is not cleared before its exit is written")
             }
         }
-        checkEndsAreRecorded(next, findings, doneBefore)
+        checkExitsAreRecorded(next, findings, doneBefore)
     }
 
-    private fun checkEndsAreRecorded(
+    private fun checkExitsAreRecorded(
         next: TestScheduler,
         findings: Map<TaskId, ReconciliationFinding>,
         doneBefore: Map<JobId, Int>,
     ) {
         val jobs = HashMap<JobId, RunningJob>(next.scheduler.jobs)
-        // Ends wait a moment for others to be written along with them.
+        // Exits wait a moment for others to be written along with them.
         next.now += 2.seconds
         next.write()
         val cleared = next.commands("m").filterIsInstance<WorkerCommand.Clear>().map { it.task }
         for ((task, finding) in findings) {
-            if (finding != ReconciliationFinding.END_UNRECORDED) continue
-            assertTrue(task in cleared, "$task is cleared once its end is written")
+            if (finding != ReconciliationFinding.EXIT_UNRECORDED) continue
+            assertTrue(task in cleared, "$task is cleared once its exit is written")
             assertTrue(jobs.getValue(task.job).isDone(task.index))
             assertTrue(jobs.getValue(task.job).doneCount > doneBefore.getValue(task.job))
         }
--- a/src/test/kotlin/umberslip/recovery/RecoveryReportTest.kt
+++ b/src/test/kotlin/umberslip/recovery/RecoveryReportTest.kt
@@ -21,10 +21,10 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** What operators read agrees with what a controller found, and keeps to the published schema. */
+/** What operators read agrees with what a controller found, and follows the published schema. */
 class RecoveryReportTest {
     private val schema =
-        SchemaRegistry.withDefaultDialect(SpecificationVersion.DRAFT_2020_12).getSchema(RecoveryReport.schema())
+        SchemaRegistry.withDefaultDialect(SpecificationVersion.DRAFT_2020_12).getSchema(RecoveryReportJson.schema())
 
     private fun snapshot(
         random: Random,
@@ -69,7 +69,7 @@
     }
 
     @Test
-    fun `a snapshot comes through the metrics as it was`() {
+    fun `a snapshot is read from the metrics as it was published`() {
         for (seed in 1..50) {
             val snapshot = snapshot(Random(seed))
             assertEquals(ControllerAnswer.Leader("10.0.0.1:8080", snapshot), published(snapshot))
@@ -79,8 +79,23 @@
         assertEquals(ControllerAnswer.NotTracked("a:1"), without)
     }
 
+    /** Scripts and dashboards depend on them, whatever the constants are called. */
     @Test
-    fun `a controller that is away is named with the reason`() {
+    fun `published names, exit codes and the order of phases stay as they were released`() {
+        assertEquals(listOf("waiting", "adopting", "settled"), RecoveryPhase.entries.map { it.jsonName })
+        assertEquals(
+            mapOf("settled" to 0, "recovering" to 3, "no_owner" to 4, "owner_not_heard" to 5, "unknown" to 6),
+            RecoveryStatus.entries.associate { it.jsonName to it.exitCode },
+        )
+        assertEquals(
+            "adopted end_unrecorded cancelled not_reported not_reported_cancelled done_running done_ended " +
+                "other_attempt_running other_attempt_ended job_unknown_running job_unknown_ended",
+            ReconciliationFinding.entries.joinToString(" ") { it.jsonName },
+        )
+    }
+
+    @Test
+    fun `a controller that cannot be reached is named with the reason`() {
         val port = ServerSocket(0).use { it.localPort }
         val answer = ControllerMetrics().ask(InetSocketAddress("127.0.0.1", port))
         assertTrue(answer is ControllerAnswer.Unreachable, "$answer")
@@ -88,26 +103,26 @@
 
     @Test
     fun `the status follows the highest term that anybody knows`() {
-        val settled = ControllerAnswer.Leader("a:1", snapshot(Random(1), RecoveryPhase.SETTLED, 5))
+        val completed = ControllerAnswer.Leader("a:1", snapshot(Random(1), RecoveryPhase.COMPLETED, 5))
         val adopting = ControllerAnswer.Leader("b:1", snapshot(Random(2), RecoveryPhase.ADOPTING, 6))
-        val away = ControllerAnswer.Unreachable("c:1", "refused")
+        val unreachable = ControllerAnswer.Unreachable("c:1", "refused")
         val unreadable = RecordsAnswer.Unreadable("503")
 
         fun status(
             records: RecordsAnswer,
             vararg controllers: ControllerAnswer,
         ) = RecoveryReport(records, controllers.toList()).status
-        assertEquals(RecoveryStatus.SETTLED, status(records("c-0", 5), settled, away))
-        assertEquals(RecoveryStatus.RECOVERING, status(records("c-1", 6), settled, adopting))
-        assertEquals(RecoveryStatus.SETTLED, status(unreadable, settled), "the owner's word suffices")
-        assertEquals(RecoveryStatus.OWNER_NOT_HEARD, status(records("c-2", 7), settled, adopting))
-        assertEquals(RecoveryStatus.NO_OWNER, status(records(null, 6), away))
-        assertEquals(RecoveryStatus.OWNER_NOT_HEARD, status(records("c-2", 7), away))
-        assertEquals(RecoveryStatus.UNKNOWN, status(unreadable, away))
+        assertEquals(RecoveryStatus.COMPLETED, status(records("c-0", 5), completed, unreachable))
+        assertEquals(RecoveryStatus.RECOVERING, status(records("c-1", 6), completed, adopting))
+        assertEquals(RecoveryStatus.COMPLETED, status(unreadable, completed), "the leader's answer suffices")
+        assertEquals(RecoveryStatus.LEADER_UNRESPONSIVE, status(records("c-2", 7), completed, adopting))
+        assertEquals(RecoveryStatus.NO_LEADER, status(records(null, 6), unreachable))
+        assertEquals(RecoveryStatus.LEADER_UNRESPONSIVE, status(records("c-2", 7), unreachable))
+        assertEquals(RecoveryStatus.UNKNOWN, status(unreadable, unreachable))
     }
 
     @Test
-    fun `the JSON keeps to the schema, and the schema refuses what it should`() {
+    fun `the JSON follows the schema, and the schema refuses what it should`() {
         for (seed in 1..200) {
             val random = Random(seed)
             val records = if (random.nextInt(4) == 0) RecordsAnswer.Unreadable("out") else records("c-0", 3)
@@ -120,11 +135,11 @@
                         else -> ControllerAnswer.Leader("a:1", snapshot(random))
                     }
                 }
-            val json = RecoveryReport(records, controllers).toJson()
+            val json = RecoveryReportJson.render(RecoveryReport(records, controllers))
             assertEquals(emptyList<Any>(), schema.validate(json, InputFormat.JSON), json)
         }
         val leader = ControllerAnswer.Leader("a:1", snapshot(Random(1)))
-        val good = RecoveryReport(records("c-0", 3), listOf(leader)).toJson()
+        val good = RecoveryReportJson.render(RecoveryReport(records("c-0", 3), listOf(leader)))
         for ((from, to) in listOf(
             "\"version\":1" to "\"version\":2",
             "\"state\":\"owner\"" to "\"state\":\"not_owner\"",
@@ -137,7 +152,7 @@
     }
 
     @Test
-    fun `what the records say is counted as the next leader would take it over`() {
+    fun `recorded work is counted as the next leader would load it`() {
         val scheduler = TestScheduler()
         val job = scheduler.job { it.copy(tasks = 5) }
         val cancelled = scheduler.job { it.copy(tasks = 1) }
@@ -154,16 +169,16 @@
     }
 
     @Test
-    fun `the text names what cannot be read and who is away`() {
+    fun `the text names what cannot be read and who cannot be reached`() {
         val report =
             RecoveryReport(
                 records("c-0", 3),
                 listOf(
                     ControllerAnswer.Unreachable("b:1", "refused"),
-                    ControllerAnswer.Leader("a:1", snapshot(Random(1), RecoveryPhase.ADOPTING, 3).copy(settled = null)),
+                    ControllerAnswer.Leader("a:1", snapshot(Random(1), RecoveryPhase.ADOPTING, 3).copy(completedAfter = null)),
                 ),
             )
-        val text = report.toText()
+        val text = RecoveryReportText.render(report)
         val expected =
             listOf(
                 "status: recovering",
--- a/src/test/kotlin/umberslip/recovery/RecoveryTrackerTest.kt
+++ b/src/test/kotlin/umberslip/recovery/RecoveryTrackerTest.kt
@@ -10,15 +10,15 @@
 
 class RecoveryTrackerTest {
     @Test
-    fun `a recovery without recorded tasks is settled at once`() {
+    fun `a recovery without recorded tasks is completed at once`() {
         val tracker = RecoveryTracker(Term(3), 10.seconds)
         tracker.recordsLoaded(emptyMap(), 10.seconds)
-        assertEquals(RecoveryPhase.SETTLED, tracker.snapshot(10.seconds).phase)
+        assertEquals(RecoveryPhase.COMPLETED, tracker.snapshot(10.seconds).phase)
     }
 
-    /** Machines report, are lost, report again or again after their loss, in any order. */
+    /** Machines are reconciled, are lost, send heartbeats again or after their loss, in any order. */
     @Test
-    fun `every recorded task is unheard, found or lost, and the recovery ends with the last of them`() {
+    fun `every recorded task is unreconciled, found or lost, and the last of them completes the recovery`() {
         for (seed in 1..200) {
             val random = Random(seed)
             val recorded = List(random.nextInt(1, 20)) { MachineName("m$it") }.associateWith { random.nextInt(1, 9) }
@@ -29,7 +29,7 @@
             var lost = 0
             var now = 100.seconds
             while (open.isNotEmpty()) {
-                assertNull(tracker.snapshot(now).settled, "seed $seed")
+                assertNull(tracker.snapshot(now).completedAfter, "seed $seed")
                 now += 1.seconds
                 val machineName = recorded.keys.random(random)
                 val tasks = open.remove(machineName) ?: 0
@@ -41,17 +41,17 @@
                     lost += tasks
                 }
                 val snapshot = tracker.snapshot(now)
-                assertEquals(open.keys, tracker.unheardMachines)
-                assertEquals(open.values.sum(), snapshot.unheardTasks)
+                assertEquals(open.keys, tracker.unreconciledMachines)
+                assertEquals(open.values.sum(), snapshot.unreconciledTasks)
                 assertEquals(lost, snapshot.lostTasks)
                 assertEquals(found, snapshot.findings[ReconciliationFinding.ADOPTED] ?: 0)
-                assertEquals(snapshot.recordedTasks, snapshot.unheardTasks + found + lost)
+                assertEquals(snapshot.recordedTasks, snapshot.unreconciledTasks + found + lost)
             }
-            val settledAfter = now - 100.seconds
-            // Machines heard or lost later change nothing about it.
+            val completedAfter = now - 100.seconds
+            // Machines that are reconciled later do not change it.
             tracker.reconciled(MachineName("new"), emptyList(), now + 5.seconds)
-            assertEquals(settledAfter, tracker.snapshot(now + 9.seconds).settled)
-            assertEquals(RecoveryPhase.SETTLED, tracker.snapshot(now + 9.seconds).phase)
+            assertEquals(completedAfter, tracker.snapshot(now + 9.seconds).completedAfter)
+            assertEquals(RecoveryPhase.COMPLETED, tracker.snapshot(now + 9.seconds).phase)
         }
     }
 
@@ -60,10 +60,12 @@
         val tracker = RecoveryTracker(Term(2), 0.seconds)
         tracker.recordsLoaded(List(10) { MachineName("m$it") }.associateWith { 1 }, 0.seconds)
         assertEquals(RecoveryPhase.WAITING, tracker.snapshot(0.seconds).phase)
-        for (i in 0 until 10) tracker.reconciled(MachineName("m$i"), listOf(ReconciliationFinding.ADOPTED), (i + 1).seconds)
+        for (i in 0 until 10) {
+            tracker.reconciled(MachineName("m$i"), listOf(ReconciliationFinding.ADOPTED), (i + 1).seconds)
+        }
         val snapshot = tracker.snapshot(20.seconds)
-        assertEquals(1.seconds, snapshot.firstAdoption)
-        assertEquals(9.seconds, snapshot.mostAccountedFor)
-        assertEquals(10.seconds, snapshot.settled)
+        assertEquals(1.seconds, snapshot.firstAdoptionAfter)
+        assertEquals(9.seconds, snapshot.mostAccountedForAfter)
+        assertEquals(10.seconds, snapshot.completedAfter)
     }
 }
--- a/src/test/kotlin/umberslip/recovery/archive/RecordArchiveTest.kt
+++ b/src/test/kotlin/umberslip/recovery/archive/RecordArchiveTest.kt
@@ -48,7 +48,7 @@
         )
 
     @Test
-    fun `what is written is read`() {
+    fun `an archive is read as it was written`() {
         for (seed in 1..150) {
             val archive = archive(Random(seed))
             val file = directory.resolve("records.zst")
@@ -110,7 +110,7 @@
         assertTrue(refusal(lines.map { it.replace("\"a\":1", "\"a\":2") }) is ArchiveException.Corrupt)
         assertTrue(refusal(lines.filterIndexed { i, _ -> i != 3 }) is ArchiveException.Corrupt)
         assertTrue(refusal(lines.take(3) + lines[2] + lines.drop(3)) is ArchiveException.Corrupt)
-        assertTrue(refusal(lines.dropLast(1)) is ArchiveException.Torn)
+        assertTrue(refusal(lines.dropLast(1)) is ArchiveException.Incomplete)
         val later = lines[0].replace("\"version\":1", "\"version\":2")
         assertTrue(refusal(listOf(later) + lines.drop(1)) is ArchiveException.UnsupportedVersion)
         assertTrue(refusal(lines.drop(1)) is ArchiveException.NotAnArchive)
@@ -119,7 +119,7 @@
     }
 
     @Test
-    fun `a comparison tells what ran on, began again, ended or waits`() {
+    fun `a comparison shows which tasks continued, were restarted, finished or wait`() {
         val scheduler = TestScheduler()
         val jobs = List(3) { scheduler.job { it.copy(tasks = 2, cpus = 2.0) } }
         for (machineName in listOf("m1", "m2", "m3")) {
@@ -132,14 +132,14 @@
         val before = scheduler.recorded()
         assertEquals(jobs.mapTo(HashSet()) { it.spec.id }, before.jobs)
         assertEquals(6, before.starts.size)
-        // m2 is lost and its tasks go elsewhere; on m3 one job's task ends.
+        // m2 is lost and its tasks start elsewhere; on m3 one job's task exits.
         val onM2 =
             scheduler
                 .machine("m2")
                 .assignments.keys
                 .toSet()
         val ended = scheduler.commands("m3").filterIsInstance<WorkerCommand.Start>().first()
-        val kept =
+        val stillRunning =
             scheduler
                 .machine("m3")
                 .assignments.values
@@ -148,25 +148,30 @@
         scheduler.heartbeat(
             "m3",
             TestScheduler.ended(ended.task, ended.attempt, ExitCause.DONE),
-            *kept.map { TestScheduler.running(it.id, it.attempt) }.toTypedArray(),
+            *stillRunning.map { TestScheduler.running(it.id, it.attempt) }.toTypedArray(),
         )
         scheduler.now += 5.seconds
         scheduler.heartbeat("m4", type = "large")
         scheduler.dispatch("m4")
         scheduler.write()
         val comparison = RecordComparison(before, scheduler.recorded())
-        for (task in onM2) assertEquals(TaskChange.STARTED_AGAIN, comparison.tasks[task], "$task")
+        for (task in onM2) assertEquals(TaskChange.RESTARTED, comparison.tasks[task], "$task")
         assertEquals(TaskChange.NOT_PLACED, comparison.tasks[ended.task])
-        assertEquals(6 - onM2.size - 1, comparison.count(TaskChange.RAN_ON))
+        assertEquals(6 - onM2.size - 1, comparison.count(TaskChange.CONTINUED))
         assertEquals(emptySet<Any>(), comparison.lostProgress)
         assertTrue(MachineName("m2") in comparison.emptiedMachines)
+        assertEquals(
+            listOf("ran_on", "started_again", "not_placed", "job_ended"),
+            TaskChange.entries.map { it.jsonName },
+            "published names stay, whatever the constants are called",
+        )
         val reversed = RecordComparison(scheduler.recorded(), before)
         assertEquals(setOf(ended.task.job), reversed.lostProgress)
         assertTrue("LOST PROGRESS: ${ended.task.job.value}" in reversed.toText())
     }
 
     @Test
-    fun `the command tells a damaged file in one line`() {
+    fun `the command reports a damaged file in one line`() {
         val settings = directory.resolve("settings.json")
         Files.writeString(settings, Fixtures.settingsJson("c-0"))
         val file = directory.resolve("records.zst")
