--- a/src/main/kotlin/umberslip/scheduling/WorkerCommands.kt
+++ b/src/main/kotlin/umberslip/scheduling/WorkerCommands.kt
@@ -54,7 +54,7 @@
         reported: ReportedTask,
     ): Boolean {
         val ending = machine.awaitingClear[reported.task] ?: return true
-        return ending.attempt != reported.attempt || ending.recorded
+        return ending.attempt != reported.attempt || ending.isRecorded
     }
 
     private fun addStarts(
--- a/src/test/kotlin/umberslip/scheduling/LogCompactionTest.kt
+++ b/src/test/kotlin/umberslip/scheduling/LogCompactionTest.kt
@@ -153,7 +153,7 @@
             assertTrue(compacted >= 5, "the log was compacted in $compacted runs")
         }
 
-    private fun TestScheduler.hasCopies() = scheduler.jobs.values.any { job -> job.knownBlocks().any { it.copied > 0 } }
+    private fun TestScheduler.hasCopies() = scheduler.jobs.values.any { job -> job.knownBlocks().any { it.hasCopy } }
 
     private fun causeFor(
         scheduler: TestScheduler,
