--- a/src/main/kotlin/umberslip/scheduling/ClusterSnapshot.kt
+++ b/src/main/kotlin/umberslip/scheduling/ClusterSnapshot.kt
@@ -9,12 +9,13 @@
 import kotlin.time.Duration.Companion.seconds
 import kotlin.time.DurationUnit
 
-/** Where tasks may run; tasks with the same answer are planned for together. */
+/** Where tasks may run; tasks with equal constraints are planned together. */
 data class PlacementConstraint(
     val instanceTypes: List<String>?,
     val zone: String?,
     val spot: Boolean,
 ) {
+    /** Whether the tasks may run on machines of that offer. */
     fun allows(offer: Offer): Boolean =
         (instanceTypes == null || offer.type in instanceTypes) &&
             (zone == null || offer.zone == zone) &&
@@ -22,8 +23,8 @@
 }
 
 /**
- * Work that is to be placed: tasks alike in room and in the time they need. [slack] is how long it can
- * wait for its start and still be done when it should.
+ * Work that is to be placed: [tasks] that each take [resources], and on average [seconds]. [slack] is how long it can
+ * wait for its start and still meet its next objective deadline.
  */
 data class PendingWork(
     val where: PlacementConstraint,
@@ -33,113 +34,144 @@
     val slack: Duration = Duration.ZERO,
 )
 
-/** A task on a machine, and for how long it still needs its room. */
+/** A task on a machine, and how many more seconds it needs its resources. */
 class RunningTask(
     val resources: Resources,
     val seconds: Double,
 )
 
+/** A machine as the provisioner plans with it. Durations count back from the time of the snapshot. */
 data class MachineSnapshot(
     val name: MachineName,
     val offer: Offer,
+    /** Null as long as the instance type is not known. */
     val capacity: Resources?,
     val usable: Boolean,
     val isDraining: Boolean,
     val isQuarantined: Boolean,
+    /** Until the spot interruption; null without a notice. */
     val interruptedIn: Duration?,
+    /** How many tasks are assigned, also those that do not run yet. */
     val tasks: Int,
     val running: List<RunningTask>,
+    /** Since the machine last had contact with the leader; null before the first in this term. */
     val sinceContact: Duration?,
-    /** As [sinceContact], with what other controllers heard. */
+    /** As [sinceContact], but with any controller; since the records were loaded, if there was none. */
     val sinceAnyContact: Duration,
     val leaseExpired: Boolean,
-    /** A time by which it was rented for certain. */
+    /** A time by which it certainly was provisioned, on the leader's monotonic clock. */
     val provisionedBefore: Duration,
     val runningCpus: Double,
     val fetchingCpus: Double,
 )
 
-/** What the fleet is planned from. */
+/** What the provisioner plans from: the machines, and the work that waits for them. Immutable. */
 class ClusterSnapshot(
     val machines: List<MachineSnapshot>,
     val waiting: List<PendingWork>,
 ) {
     companion object {
-        /** More tasks than any job has. */
-        private const val MANY = 1e6
-
         fun of(
             scheduler: SchedulerState,
             now: Duration,
         ): ClusterSnapshot {
-            val machines = scheduler.machines.values.map { view(it, now) }
+            val machines = scheduler.machines.values.map { machineSnapshot(it, now) }
             val waiting = ArrayList<PendingWork>()
-            for (team in scheduler.teams.values) {
-                // What a team's limit does not let start needs no machine.
-                var cpus = team.team.cpusMax?.minus(team.usedCpus) ?: Double.MAX_VALUE
-                for (job in team.waiting) {
-                    if (job.retryAfter > now) continue
-                    val byLimit =
-                        if (job.resources.cpus > 0) {
-                            (cpus / job.resources.cpus).coerceAtMost(MANY).toInt()
-                        } else {
-                            job.waiting
-                        }
-                    val tasks = minOf(job.waiting, byLimit, if (job.isQuarantined) 1 else Int.MAX_VALUE)
-                    if (tasks <= 0) continue
-                    cpus -= tasks * job.resources.cpus
-                    val daemon = job.spec.shape == Shape.DAEMON
-                    val seconds = if (daemon) LONG else job.expected
-                    val time = if (daemon) LONG.seconds else job.expectedRunTime
-                    val slack = job.objectiveDeadlines.firstOrNull { it > now + time }?.let { it - now - time } ?: PATIENT
-                    // What the limit holds back follows in the same places, one after the other.
-                    waiting += PendingWork(where(job), job.resources, tasks, seconds * job.waiting / tasks, slack)
-                }
-            }
+            for (team in scheduler.teams.values) addPendingWork(team, now, waiting)
             return ClusterSnapshot(machines, waiting)
         }
 
+        private fun addPendingWork(
+            team: Dispatcher,
+            now: Duration,
+            waiting: MutableList<PendingWork>,
+        ) {
+            // What a team's quota limit does not let start needs no machine.
+            var cpus = team.quota.maxCpus?.minus(team.quota.usedCpus) ?: Double.MAX_VALUE
+            for (job in team.waiting) {
+                if (job.retryAfter > now) continue
+                val tasks = minOf(job.waiting, tasksWithin(cpus, job), if (job.isQuarantined) 1 else Int.MAX_VALUE)
+                if (tasks <= 0) continue
+                cpus -= tasks * job.resources.cpus
+                waiting += pendingWork(job, tasks, now)
+            }
+        }
+
+        private fun tasksWithin(
+            cpus: Double,
+            job: RunningJob,
+        ): Int {
+            if (job.resources.cpus <= 0) return job.waiting
+            return (cpus / job.resources.cpus).coerceAtMost(MAX_TASKS).toInt()
+        }
+
+        private fun pendingWork(
+            job: RunningJob,
+            tasks: Int,
+            now: Duration,
+        ): PendingWork {
+            val isDaemon = job.spec.shape == Shape.DAEMON
+            val seconds = if (isDaemon) DAEMON_SECONDS else job.expectedSeconds
+            val runTime = if (isDaemon) DAEMON_SECONDS.seconds else job.expectedRunTime
+            val reachable = job.objectiveDeadlines.firstOrNull { it > now + runTime }
+            val slack = reachable?.let { it - now - runTime } ?: SLACK_WHEN_ALL_MISSED
+            // What the limit holds back follows on the same machines, one after the other.
+            return PendingWork(constraint(job), job.resources, tasks, seconds * job.waiting / tasks, slack)
+        }
+
         /** A job of one zone that has tasks there has no use for machines elsewhere. */
-        private fun where(job: RunningJob): PlacementConstraint {
-            val bound = if (job.spec.oneZone) job.zones.keys.singleOrNull { it.isNotEmpty() } else null
-            return PlacementConstraint(job.spec.instanceTypes, job.spec.zone ?: bound, job.spec.spot)
+        private fun constraint(job: RunningJob): PlacementConstraint {
+            val boundZone = if (job.spec.oneZone) job.zones.keys.singleOrNull { it.isNotEmpty() } else null
+            return PlacementConstraint(job.spec.instanceTypes, job.spec.zone ?: boundZone, job.spec.spot)
         }
 
-        private fun view(
-            m: Machine,
+        private fun machineSnapshot(
+            machine: Machine,
             now: Duration,
         ): MachineSnapshot =
             MachineSnapshot(
-                m.name,
-                Offer(m.type, m.zone, m.spot),
-                m.capacity,
-                m.usable,
-                m.isDraining,
-                m.isQuarantined,
-                m.interruptionAt?.minus(now),
-                m.assignments.size,
-                m.assignments.values.map { a ->
-                    val ran = a.runningSince?.let { (now - it).toDouble(DurationUnit.SECONDS) } ?: 0.0
-                    val left =
-                        if (a.job.spec.shape == Shape.DAEMON) {
-                            LONG
-                        } else {
-                            (a.job.expected - ran).coerceAtLeast(SOON)
-                        }
-                    RunningTask(a.resources, left)
-                },
-                m.lastContact?.let { now - it },
-                m.timeSinceContact(now),
-                m.leaseExpiry <= now,
-                m.firstContact ?: m.loadedAt,
-                m.assignments.values.sumOf { if (it.status == TaskState.RUNNING) it.resources.cpus else 0.0 },
-                m.assignments.values.sumOf { if (it.status == TaskState.FETCHING) it.resources.cpus else 0.0 },
+                name = machine.name,
+                offer = Offer(machine.type, machine.zone, machine.spot),
+                capacity = machine.capacity,
+                usable = machine.isUsable,
+                isDraining = machine.isDraining,
+                isQuarantined = machine.isQuarantined,
+                interruptedIn = machine.interruptionAt?.minus(now),
+                tasks = machine.assignments.size,
+                running = machine.assignments.values.map { runningTask(it, now) },
+                sinceContact = machine.lastContact?.let { now - it },
+                sinceAnyContact = machine.timeSinceContact(now),
+                leaseExpired = machine.leaseExpiry <= now,
+                provisionedBefore = machine.firstContact ?: machine.loadedAt,
+                runningCpus = cpusInState(machine, TaskState.RUNNING),
+                fetchingCpus = cpusInState(machine, TaskState.FETCHING),
             )
 
-        private const val LONG = 1e6
+        private fun runningTask(
+            assignment: Assignment,
+            now: Duration,
+        ): RunningTask {
+            if (assignment.job.spec.shape == Shape.DAEMON) return RunningTask(assignment.resources, DAEMON_SECONDS)
+            val ranSeconds = assignment.runningSince?.let { (now - it).toDouble(DurationUnit.SECONDS) } ?: 0.0
+            val remaining = (assignment.job.expectedSeconds - ranSeconds).coerceAtLeast(MIN_REMAINING_SECONDS)
+            return RunningTask(assignment.resources, remaining)
+        }
+
+        private fun cpusInState(
+            machine: Machine,
+            state: TaskState,
+        ): Double = machine.assignments.values.sumOf { if (it.status == state) it.resources.cpus else 0.0 }
+
+        /** More tasks than any job has. */
+        private const val MAX_TASKS = 1e6
+
+        /** Daemons run until they are stopped; long enough for any plan. */
+        private const val DAEMON_SECONDS = 1e6
+
+        /** What has missed all its deadlines can wait for cheap machines. */
+        private val SLACK_WHEN_ALL_MISSED = 200.seconds
 
-        /** What has missed every target it had can wait for cheap machines. */
-        private val PATIENT = 200.seconds
-        private const val SOON = 4.0
+        /** A task that runs longer than expected is taken to end after this long. */
+        private const val MIN_REMAINING_SECONDS = 4.0
     }
 }
--- a/src/main/kotlin/umberslip/scheduling/DependencyGraph.kt
+++ b/src/main/kotlin/umberslip/scheduling/DependencyGraph.kt
@@ -5,142 +5,162 @@
 import umberslip.records.JobOutcome
 import kotlin.time.Duration
 
-/** What a job takes over from those that need it. */
+/** What a job inherits from the jobs that depend on it. */
 data class InheritedPriority(
     val priority: Priority,
+    /** Those that the job has to meet so that the others can meet theirs. */
     val deadlines: List<Duration>,
 )
 
 /**
- * Which jobs wait for which. A needed job counts as done only by its recorded end: as this leader wrote it
- * in its term, or as it read it. Pure; [jobs] are the unfinished ones.
+ * Which unfinished jobs depend on which. A dependency is met only by its recorded outcome: as this leader wrote it in
+ * its term, or as it read it. Pure; [jobs] are the unfinished ones. Used on the leader actor's thread only.
  */
 class DependencyGraph(
     private val jobs: Map<JobId, RunningJob>,
 ) {
-    /** Those that wait, by what they wait for. */
-    private val needing = HashMap<JobId, LinkedHashSet<RunningJob>>()
-    private val ends =
+    /** The jobs that are blocked, by the job that blocks them. */
+    private val dependents = HashMap<JobId, LinkedHashSet<RunningJob>>()
+
+    /** Known outcomes; they never change. */
+    private val outcomes =
         object : LinkedHashMap<JobId, JobOutcome>() {
-            override fun removeEldestEntry(eldest: Map.Entry<JobId, JobOutcome>) = size > MAX_ENDS
+            override fun removeEldestEntry(eldest: Map.Entry<JobId, JobOutcome>) = size > MAX_OUTCOMES
         }
-    private val unreadEnds = LinkedHashSet<JobId>()
+    private val unreadOutcomes = LinkedHashSet<JobId>()
+
+    /** Dependencies that are finished or not known: their outcomes are to be read from the store. */
+    val unread: Set<JobId> get() = unreadOutcomes
 
-    /** Needed jobs that are over, or not known: how they ended is to be read. */
-    val unread: Set<JobId> get() = unreadEnds
-    private var changed = false
-    private var ranked: Map<RunningJob, InheritedPriority> = emptyMap()
+    /** Whether the graph has changed since priorities were last inherited. */
+    private var isChanged = false
+    private var inheritedBefore: Map<RunningJob, InheritedPriority> = emptyMap()
 
-    /** A job came, in any order with those that it needs; answered with all that are cancelled by that. */
+    /** Adds a job, before or after those it depends on. Returns the other jobs that are cancelled by that. */
     fun added(job: RunningJob): List<RunningJob> {
         val id = job.spec.id
-        unreadEnds -= id
-        for (needed in job.spec.dependencies) {
-            when (ends[needed]) {
-                JobOutcome.DONE -> Unit
-                JobOutcome.CANCELLED -> job.dependencyCancelled = true
-                null -> {
-                    needing.getOrPut(needed) { LinkedHashSet() } += job
-                    job.pending += needed
-                    val known = jobs[needed]
-                    if (known == null) {
-                        unreadEnds += needed
-                    } else if (known.cancelled || known.dependencyCancelled) {
-                        job.dependencyCancelled = true
-                    }
-                }
+        unreadOutcomes -= id
+        for (dependency in job.spec.dependencies) addDependency(job, dependency)
+        if (job.spec.dependencies.isNotEmpty() || id in dependents) isChanged = true
+        return if (job.cancelled || job.dependencyCancelled) cancelDependents(job) else emptyList()
+    }
+
+    private fun addDependency(
+        job: RunningJob,
+        dependency: JobId,
+    ) {
+        when (outcomes[dependency]) {
+            JobOutcome.DONE -> Unit
+            JobOutcome.CANCELLED -> job.dependencyCancelled = true
+            null -> {
+                dependents.getOrPut(dependency) { LinkedHashSet() } += job
+                job.pending += dependency
+                val known = jobs[dependency]
+                if (known == null) unreadOutcomes += dependency
+                if (known != null && (known.cancelled || known.dependencyCancelled)) job.dependencyCancelled = true
             }
         }
-        if (job.spec.dependencies.isNotEmpty() || id in needing) changed = true
-        return if (job.cancelled || job.dependencyCancelled) cancelDependents(job) else emptyList()
     }
 
-    /** Its user called it off: so are all that need it, directly or through others. */
+    /** The job is cancelled, and so are all that depend on it, directly or through others; returns those. */
     fun cancelDependents(job: RunningJob): List<RunningJob> {
-        val all = ArrayList<RunningJob>()
+        val cancelled = ArrayList<RunningJob>()
         val open = ArrayDeque(listOf(job))
         while (open.isNotEmpty()) {
-            for (next in needing[open.removeLast().spec.id].orEmpty()) {
-                if (next.dependencyCancelled) continue
-                next.dependencyCancelled = true
-                all += next
-                open += next
+            for (dependent in dependents[open.removeLast().spec.id].orEmpty()) {
+                if (dependent.dependencyCancelled) continue
+                dependent.dependencyCancelled = true
+                cancelled += dependent
+                open += dependent
             }
         }
-        if (all.isNotEmpty() || job.pending.isNotEmpty()) changed = true
-        return all
+        if (cancelled.isNotEmpty() || job.pending.isNotEmpty()) isChanged = true
+        return cancelled
     }
 
-    /** The recorded end of a job is known; answered with those for which that changes something. */
+    /** The recorded [outcome] of a job is known. Returns the jobs that become runnable or are cancelled by it. */
     fun ended(
         id: JobId,
-        end: JobOutcome,
+        outcome: JobOutcome,
     ): List<RunningJob> {
-        unreadEnds -= id
-        ends[id] = end
-        val waiting = needing.remove(id) ?: return emptyList()
-        changed = true
-        waiting.forEach { it.pending -= id }
-        if (end == JobOutcome.DONE) return waiting.filter { !it.isBlocked }
-        return waiting.filter { !it.dependencyCancelled }.flatMap { job ->
+        unreadOutcomes -= id
+        outcomes[id] = outcome
+        val blocked = dependents.remove(id) ?: return emptyList()
+        isChanged = true
+        blocked.forEach { it.pending -= id }
+        if (outcome == JobOutcome.DONE) return blocked.filter { !it.isBlocked }
+        return blocked.filter { !it.dependencyCancelled }.flatMap { job ->
             job.dependencyCancelled = true
             cancelDependents(job) + job
         }
     }
 
-    /** It is no longer among the unfinished jobs; how it ended may be told later. */
+    /** The job is not among the unfinished ones any more; its outcome may become known later. */
     fun removed(job: RunningJob) {
-        val id = job.spec.id
-        for (needed in job.pending) {
-            val waiting = needing[needed] ?: continue
-            waiting -= job
-            if (waiting.isEmpty()) {
-                needing -= needed
-                unreadEnds -= needed
+        for (dependency in job.pending) {
+            val blocked = dependents[dependency] ?: continue
+            blocked -= job
+            if (blocked.isEmpty()) {
+                dependents -= dependency
+                unreadOutcomes -= dependency
             }
         }
-        if (job.pending.isNotEmpty()) changed = true
-        if (id in needing) unreadEnds += id
+        if (job.pending.isNotEmpty()) isChanged = true
+        if (job.spec.id in dependents) unreadOutcomes += job.spec.id
     }
 
     /**
-     * Urgency and deadlines flow backwards, a deadline less the run times between. Answered with the jobs
-     * whose rank is another than before; worked out only when the graph has changed.
+     * Passes priorities and deadlines on to dependencies, a deadline less the run times between. Returns the jobs that
+     * inherit something else than before; computed only when the graph has changed.
      */
     fun inheritPriorities(): Map<RunningJob, InheritedPriority> {
-        if (!changed) return emptyMap()
-        changed = false
-        val now = HashMap<RunningJob, InheritedPriority>()
+        if (!isChanged) return emptyMap()
+        isChanged = false
+        val before = inheritedBefore
+        val inherited = computeInherited()
+        inheritedBefore = inherited
+        return (before.keys + inherited.keys)
+            .filter { jobs[it.spec.id] === it && before[it] != inherited[it] }
+            .associateWith { inherited[it] ?: nothingInherited(it) }
+    }
 
-        fun of(job: RunningJob) = now[job] ?: InheritedPriority(job.spec.priority, emptyList())
-        val open = ArrayDeque(needing.values.flatten())
+    private fun computeInherited(): Map<RunningJob, InheritedPriority> {
+        val inherited = HashMap<RunningJob, InheritedPriority>()
+        val open = ArrayDeque(dependents.values.flatten())
         while (open.isNotEmpty()) {
             val job = open.removeFirst()
             if (job.dependencyCancelled || job.cancelled) continue
-            val rank = of(job)
-            val deadlines = (job.deadlines + rank.deadlines).map { it - job.expectedRunTime }
-            for (needed in job.pending) {
-                val other = jobs[needed] ?: continue
-                val known = of(other)
-                val merged =
-                    InheritedPriority(
-                        minOf(known.priority, rank.priority),
-                        (known.deadlines + deadlines).distinct().sorted().take(MAX_DEADLINES),
-                    )
+            val own = inherited[job] ?: nothingInherited(job)
+            val deadlines = (job.deadlines + own.deadlines).map { it - job.expectedRunTime }
+            for (id in job.pending) {
+                val dependency = jobs[id] ?: continue
+                val known = inherited[dependency] ?: nothingInherited(dependency)
+                val merged = merge(known, own.priority, deadlines)
                 if (merged == known) continue
-                now[other] = merged
-                open.addLast(other)
+                inherited[dependency] = merged
+                open.addLast(dependency)
             }
         }
-        val before = ranked
-        ranked = now
-        return (before.keys + now.keys).filter { jobs[it.spec.id] === it && before[it] != now[it] }.associateWith(::of)
+        return inherited
     }
 
+    private fun nothingInherited(job: RunningJob) = InheritedPriority(job.spec.priority, emptyList())
+
+    private fun merge(
+        known: InheritedPriority,
+        priority: Priority,
+        deadlines: List<Duration>,
+    ): InheritedPriority =
+        InheritedPriority(
+            minOf(known.priority, priority),
+            (known.deadlines + deadlines).distinct().sorted().take(MAX_DEADLINES),
+        )
+
     private companion object {
-        const val MAX_ENDS = 4_000
+        /** Bounds the memory; an outcome that was dropped is read again when a job depends on it. */
+        const val MAX_OUTCOMES = 4_000
 
-        /** The earliest are what its place goes by. */
+        /** A job's position goes by its earliest deadlines, and long chains would collect very many. */
         const val MAX_DEADLINES = 4
     }
 }
--- a/src/main/kotlin/umberslip/scheduling/Dispatcher.kt
+++ b/src/main/kotlin/umberslip/scheduling/Dispatcher.kt
@@ -10,189 +10,182 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * A team's dispatcher: its waiting jobs in order, and what its tasks hold of the machines.
- * One is hosted by the leader for each team.
+ * A team's dispatcher: orders its waiting jobs and decides which of them a machine gets next. The leader has one for
+ * each team. Used on the leader actor's thread only.
  */
 class Dispatcher(
     val team: TeamSettings,
-    private val images: Set<String> = emptySet(),
+    /** Images that some machine of the cluster has fetched; changes as they do. */
+    private val cachedImages: Set<String> = emptySet(),
 ) {
+    val quota = TeamQuota(team)
+
     /** Jobs with tasks to place, in order; others are not looked at for every heartbeat. */
-    private val queue = TreeSet(ORDER)
+    private val queue = TreeSet(QUEUE_ORDER)
     val waiting: Collection<RunningJob> get() = queue
 
-    var usedCpus = 0.0
-        private set
-    var usedGpus = 0.0
-        private set
-
-    /** The smooth weighted round-robin's running credit. */
+    /** The running credit of the smooth weighted round-robin, in processors. */
     var credit = 0.0
 
-    /** Without a guarantee a team still has a share: that of the smallest unit. */
-    val weight: Double = team.cpus.coerceAtLeast(1.0)
-
-    /** How many jobs were looked at for machines' free room: the work that heartbeats cost. */
-    var considered = 0L
+    /** How often a job was considered for a machine's free resources: the work that heartbeats cost. */
+    var jobsConsidered = 0L
         private set
 
-    /** No waiting task takes less of anything; null until asked for again. */
-    private var least: Resources? = null
+    /** No waiting task takes less of any resource; null until it is computed again. */
+    private var smallestRequest: Resources? = null
+
+    private var firstInOrder: RunningJob? = null
+    private var firstInOrderSince: Duration = Duration.ZERO
 
+    /** Puts the job into the queue, or takes it out, by whether it has tasks to place. */
     fun refresh(job: RunningJob) {
-        if (if (job.waiting > 0) queue.add(job) else queue.remove(job)) least = null
+        val isChanged = if (job.waiting > 0) queue.add(job) else queue.remove(job)
+        if (isChanged) smallestRequest = null
     }
 
     fun remove(job: RunningJob) {
-        if (queue.remove(job)) least = null
+        if (queue.remove(job)) smallestRequest = null
     }
 
-    /** Its place in the queue goes by what [change] changes. */
+    /** Changes something that the job's position in the queue depends on. */
     fun reinsert(
         job: RunningJob,
         change: () -> Unit,
     ) {
-        val queued = queue.remove(job)
+        val isQueued = queue.remove(job)
         change()
-        if (queued) queue.add(job)
+        if (isQueued) queue.add(job)
     }
 
-    /** As time passes, targets move out of reach. */
+    /** Moves jobs in the queue whose next deadline has become unreachable with time. */
     fun reorder(now: Duration) {
         for (job in queue.filter { it.nextReachableDeadline != it.nextReachableDeadlineAt(now) }) {
-            queue.remove(job)
-            job.nextReachableDeadline = job.nextReachableDeadlineAt(now)
-            queue.add(job)
+            reinsert(job) { job.nextReachableDeadline = job.nextReachableDeadlineAt(now) }
         }
     }
 
-    fun take(resources: Resources) {
-        usedCpus += resources.cpus
-        usedGpus += resources.gpus
-    }
-
-    fun give(resources: Resources) {
-        usedCpus -= resources.cpus
-        usedGpus -= resources.gpus
-    }
-
-    fun withinLimit(resources: Resources): Boolean =
-        (team.cpusMax == null || usedCpus + resources.cpus <= team.cpusMax + EPSILON) &&
-            (team.gpusMax == null || usedGpus + resources.gpus <= team.gpusMax + EPSILON)
-
-    fun withinGuarantee(resources: Resources): Boolean =
-        (team.cpus > 0 || team.gpus > 0) &&
-            usedCpus + resources.cpus <= team.cpus + EPSILON &&
-            usedGpus + resources.gpus <= team.gpus + EPSILON
-
-    private var head: RunningJob? = null
-    private var headSince: Duration = Duration.ZERO
-
-    /** The job that would be placed first, if it has been so and found no place since [since]. */
+    /** The job that would be placed first, if it has been so without a placement since before [since]; else null. */
     fun blockedHeadSince(
         since: Duration,
         now: Duration,
     ): RunningJob? {
-        val first =
-            queue.firstOrNull {
-                it.spec.shape != Shape.GANG && !it.isQuarantined && it.retryAfter <= now && withinLimit(it.resources)
-            }
-        if (first !== head) {
-            head = first
-            headSince = now
+        val first = queue.firstOrNull { isPlaceableWithResources(it, now) }
+        if (first !== firstInOrder) {
+            firstInOrder = first
+            firstInOrderSince = now
         }
-        return first?.takeIf { headSince < since && it.lastPlaced < since }
+        return first?.takeIf { firstInOrderSince < since && it.lastPlaced < since }
     }
 
-    /** The first in order has had its chance; it counts as stuck only after as long again. */
+    private fun isPlaceableWithResources(
+        job: RunningJob,
+        now: Duration,
+    ): Boolean =
+        job.spec.shape != Shape.GANG &&
+            !job.isQuarantined &&
+            job.retryAfter <= now &&
+            quota.isWithinLimit(job.resources)
+
+    /** The first in order has had its chance; it counts as blocked only after as long again. */
     fun restartHeadTimer(now: Duration) {
-        headSince = now
+        firstInOrderSince = now
     }
 
     /**
-     * The first job, in order, that has a task for this machine's free room; but while that one has time,
-     * rather the first of its priority whose image the machine has. A slot that waits for a fetch does
-     * nothing, and under load every machine would fetch every image for one or two tasks at a time.
+     * The first job, in order, that may be placed on [free]; but while that one has time, rather the first of its
+     * priority whose image the machine has. Resources allocated to a task that waits for a fetch do nothing, and under
+     * load every machine would fetch every image for one or two tasks at a time.
      */
-    fun pick(
-        machine: Machine,
-        free: Resources,
-        now: Duration,
-        within: Duration = Duration.INFINITE,
-    ): RunningJob? {
+    fun nextJob(free: FreeCapacity): RunningJob? {
         if (queue.isEmpty()) return null
-        // Most heartbeats come from machines that are full; they are not to cost a look at every job that waits.
-        val least =
-            least
-                ?: Resources(
-                    queue.minOf { it.resources.cpus },
-                    queue.minOf { it.resources.gpus },
-                    queue.minOf { it.resources.memoryGb },
-                ).also { least = it }
-        if (!free.covers(least)) return null
+        // Most heartbeats come from machines that are full; they must not cost a look at every waiting job.
+        if (!free.resources.covers(smallestRequest())) return null
+        val images = free.machine.images
         var first: RunningJob? = null
         for (job in queue) {
             if (first != null && job.priority != first.priority) break
-            considered++
-            if (first != null && job.spec.image !in machine.images) continue
-            if (!mayPlace(job, machine, free, now, within)) continue
-            if (job.spec.image in machine.images || !hasTime(job, now)) return job
+            jobsConsidered++
+            if (first != null && job.spec.image !in images) continue
+            if (!mayPlace(job, free)) continue
+            if (job.spec.image in images || !mayWaitForImage(job, free.now)) return job
             first = job
         }
         return first
     }
 
-    /** It can wait for a machine that has its image, and has not waited long since the last of its tasks was placed. */
-    private fun hasTime(
+    private fun smallestRequest(): Resources =
+        smallestRequest
+            ?: Resources(
+                queue.minOf { it.resources.cpus },
+                queue.minOf { it.resources.gpus },
+                queue.minOf { it.resources.memoryGb },
+            ).also { smallestRequest = it }
+
+    /** Its deadline leaves time to wait for a machine with its image, and it was not passed over for long. */
+    private fun mayWaitForImage(
         job: RunningJob,
         now: Duration,
-    ): Boolean = now - job.lastPlaced < PASSED_OVER && job.nextReachableDeadline - now - job.expectedRunTime > TIGHT
+    ): Boolean =
+        now - job.lastPlaced < MAX_PASSED_OVER &&
+            job.nextReachableDeadline - now - job.expectedRunTime > MIN_SLACK_TO_WAIT
 
-    /** Whether a task of this job may be placed on that machine now; [within] is how long the machine stays. */
+    /** Whether a task of this team's [job] may be placed on [free] now. */
     fun mayPlace(
         job: RunningJob,
-        machine: Machine,
-        free: Resources,
-        now: Duration,
-        within: Duration,
+        free: FreeCapacity,
     ): Boolean {
+        val machine = free.machine
+        val now = free.now
         if (machine.reservedFor.let { it != null && it !== job }) return false
-        if (job.retryAfter > now || !free.covers(job.resources)) return false
+        if (job.retryAfter > now || !free.resources.covers(job.resources)) return false
         if (job.isQuarantined && job.assigned.isNotEmpty()) return false
         if (!machine.fitsInHeartbeat(job.spec)) return false
-        // The plan may count on a machine that cannot take the job just now; it is not to wait for ever beside one with
-        // room.
-        if (
-            within.isFinite() &&
-            now - job.lastPlaced < OVERDUE &&
-            (job.expectedRunTime > within || job.spec.image !in machine.images)
-        ) {
-            return false
-        }
+        if (!endsBeforeTermination(job, free)) return false
         if (job.spec.shape == Shape.GANG && !mayAssemble(job, now)) return false
-        if (!allowed(job, machine) || !withinLimit(job.resources) || job.peek() == null) return false
-        if (job.spec.image !in machine.images && isBusyFetching(machine, job)) return false
-        // A fetch takes longer than the next machine that has the image takes to find room.
-        if (now - job.waitingSince < HOLD && job.spec.image in images && job.spec.image !in machine.images) return false
-        return machine.failures[job.spec.id].let { it == null || now - it.last >= AVOID }
+        if (!job.mayRunOn(machine) || !quota.isWithinLimit(job.resources) || job.nextTask() == null) return false
+        if (job.spec.image !in machine.images && shouldWaitForImage(job, machine, now)) return false
+        return !hasFailedRecently(job, machine, now)
+    }
+
+    /**
+     * On a draining machine only what ends while it stays anyway, without a fetch, is placed. But the provisioning plan
+     * may count on a machine that cannot take the job just now; a job does not wait for ever beside one that can.
+     */
+    private fun endsBeforeTermination(
+        job: RunningJob,
+        free: FreeCapacity,
+    ): Boolean {
+        if (free.availableFor.isInfinite() || free.now - job.lastPlaced >= MAX_WAIT_BESIDE_DRAINING) return true
+        return job.expectedRunTime <= free.availableFor && job.spec.image in free.machine.images
+    }
+
+    /** Whether another machine is likely to start the job sooner than this one, which does not have its image. */
+    private fun shouldWaitForImage(
+        job: RunningJob,
+        machine: Machine,
+        now: Duration,
+    ): Boolean {
+        if (isBusyFetching(machine, job)) return true
+        // A fetch takes longer than until the next machine that has the image is free.
+        return now - job.waitingSince < IMAGE_WAIT && job.spec.image in cachedImages
     }
 
     /**
-     * Long fetches share the machine's rate or wait for one another: a slot that would wait for the second
-     * had better stay free for what need not. Urgent work is started wherever it can be.
+     * Long fetches share the machine's bandwidth or wait for one another: resources that would wait for the second are
+     * better left to what need not. Urgent work is started wherever it can be.
      */
     private fun isBusyFetching(
         machine: Machine,
         job: RunningJob,
     ): Boolean =
-        machine.fetches > 0 &&
+        machine.images.fetchCount > 0 &&
             job.priority > Priority.HIGH &&
             machine.reservedFor !== job &&
-            machine.fetchSeconds(job.spec) >= LONG_FETCH
+            machine.fetchSeconds(job.spec) >= LONG_FETCH_SECONDS
 
     /**
-     * One gang at a time gathers slots, and none while tasks of its former attempt are still about:
-     * they would have another attempt number.
+     * One gang at a time is assembled, and none while tasks of its former attempt are still on machines: they have
+     * another attempt number.
      */
     private fun mayAssemble(
         job: RunningJob,
@@ -203,38 +196,34 @@
         return queue.none { it !== job && it.assemblingSince != null }
     }
 
-    companion object {
-        private const val EPSILON = 1e-6
+    private fun hasFailedRecently(
+        job: RunningJob,
+        machine: Machine,
+        now: Duration,
+    ): Boolean {
+        val failures = machine.failures[job.spec.id] ?: return false
+        return now - failures.last < FAILURE_AVOIDANCE
+    }
+
+    private companion object {
+        val QUEUE_ORDER = compareBy<RunningJob>({ it.priority }, { it.nextReachableDeadline }, { it.spec.id.value })
 
-        /** A machine that failed a job's task gets no more of that job for so long. */
-        private val AVOID = 20.seconds
+        /** A machine that failed a job's task gets no more of that job for so long; others have time to try it. */
+        val FAILURE_AVOIDANCE = 20.seconds
 
-        /** What found no place for so long goes to machines that are being emptied too. */
-        private val OVERDUE = 60.seconds
+        /** What found no machine for so long goes to draining ones, too. */
+        val MAX_WAIT_BESIDE_DRAINING = 60.seconds
 
-        /** With less time than this left, a job waits for no image; nor after it was passed over for so long. */
-        private val TIGHT = 20.seconds
-        private val PASSED_OVER = 8.seconds
+        /** With less time than this left until its deadline, a job waits for no image. */
+        val MIN_SLACK_TO_WAIT = 20.seconds
 
-        /** In seconds; a shorter fetch is over before the machine heartbeats again. */
-        private const val LONG_FETCH = 4.0
+        /** A job waits for no image either once others went first for so long. */
+        val MAX_PASSED_OVER = 8.seconds
+
+        /** A shorter fetch ends before the machine's heartbeats show it. */
+        const val LONG_FETCH_SECONDS = 4.0
 
         /** New work waits for a machine that has its image for this long. */
-        private val HOLD = 1500.milliseconds
-        private val ORDER = compareBy<RunningJob>({ it.priority }, { it.nextReachableDeadline }, { it.spec.id.value })
-
-        /** Whether a job's task may be on a machine at all, and given where the job's other tasks are. */
-        fun allowed(
-            job: RunningJob,
-            machine: Machine,
-        ): Boolean {
-            val spec = job.spec
-            if (spec.instanceTypes != null && machine.type !in spec.instanceTypes) return false
-            if (spec.zone != null && machine.zone != spec.zone) return false
-            if (machine.spot && !spec.spot) return false
-            if (spec.oneZone && job.zones.isNotEmpty() && machine.zone !in job.zones) return false
-            // Where the records' machines are is not known before they report: they may be in this zone.
-            return !spec.spread || (job.zones[machine.zone] ?: 0) + (job.zones[""] ?: 0) < spec.maxPerZone
-        }
+        val IMAGE_WAIT = 1500.milliseconds
     }
 }
--- a/src/main/kotlin/umberslip/scheduling/FailureTracker.kt
+++ b/src/main/kotlin/umberslip/scheduling/FailureTracker.kt
@@ -7,13 +7,20 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
+/** How often tasks of a job failed on a machine since the last success there, and when they first and last did. */
+class MachineFailures(
+    val count: Int,
+    val first: Duration,
+    val last: Duration,
+)
+
 /**
- * Tells a machine that fails every task from a job that fails on every machine.
+ * Distinguishes a machine that fails every task from a job that fails on every machine, and quarantines either.
  *
- * A job that failed on several machines and succeeded nowhere is retried with exponential back-off. Once most of its
- * tasks have failed it is doubtful: an array is then retried one task at a time, and its failures say nothing about
- * machines. A job is sound when a task of it has completed, or runs for longer than those that failed. A machine is
- * sick when sound jobs fail there and nothing succeeds in between.
+ * A job that failed on several machines and succeeded nowhere is retried with exponential back-off. Once as many of its
+ * tasks have failed as are assigned, an array is quarantined: it is retried one task at a time, and its failures are no
+ * evidence against machines. A job is healthy when a task of it has completed, or runs for longer than those that
+ * failed. A machine is quarantined, for good, when healthy jobs fail there and nothing succeeds in between.
  * Pure: time is an input.
  */
 class FailureTracker(
@@ -24,7 +31,7 @@
     /** Jobs with failures since their last success. */
     private val failing = LinkedHashSet<RunningJob>()
 
-    /** A task of the job completed on the machine. */
+    /** A task of the job completed on the machine, which clears the failures of both. */
     fun succeeded(
         machine: Machine,
         job: RunningJob,
@@ -35,7 +42,7 @@
         job.isQuarantined = false
     }
 
-    /** A task of the job failed on the machine; [ranFor] is how long it ran, as far as that is known. */
+    /** A task of the job failed on the machine; [ranFor] is how long it ran, zero if that is not known. */
     fun failed(
         machine: Machine,
         job: RunningJob,
@@ -45,86 +52,92 @@
         failing += job
         job.failures.add(machine.name, ranFor)
         val known = machine.failures[job.spec.id]
-        machine.failures[job.spec.id] = Failures((known?.count ?: 0) + 1, known?.first ?: now, now)
+        machine.failures[job.spec.id] = MachineFailures((known?.count ?: 0) + 1, known?.first ?: now, now)
         backOff(job, now)
-        judge(job, now)
-        judge(machine, now)
+        assess(job, now)
+        assess(machine, now)
     }
 
-    /** As time passes, tasks that keep running show that their job is sound. */
+    /** With time, tasks that keep running show that their job is healthy. */
     fun tick(now: Duration) {
         failing.removeAll { jobs[it.spec.id] !== it }
-        for (job in failing) judge(job, now)
+        for (job in failing) assess(job, now)
     }
 
     private fun backOff(
         job: RunningJob,
         now: Duration,
     ) {
-        val failsEverywhere = job.failures.machineCount >= FEW_MACHINES && job.doneCount == 0
-        // Failures of tasks that began before the back-off did belong to the same try.
+        val failsEverywhere = job.failures.machineCount >= MIN_MACHINES && job.doneCount == 0
+        // Tasks that began before the back-off belong to the same try.
         if (!failsEverywhere || now < job.retryAfter) return
         val wait = job.failures.nextBackOff()
         job.retryAfter = now + wait
         log.warn(
-            "job {} failed on {} machines and succeeded on none: waits {}",
+            "job backed off after failures without a success: job={} failed_machines={} wait={}",
             job.spec.id.value,
             job.failures.machineCount,
             wait,
         )
     }
 
-    private fun judge(
+    private fun assess(
         job: RunningJob,
         now: Duration,
     ) {
         val failures = job.failures
-        val long = failures.longestRun + LONGER
-        failures.isJobSound =
-            job.doneCount > 0 || job.assigned.values.any { a -> a.runningSince.let { it != null && now - it > long } }
+        val healthyRunTime = failures.longestRun + HEALTHY_RUN_MARGIN
+        failures.isJobHealthy =
+            job.doneCount > 0 ||
+            job.assigned.values.any { task -> task.runningSince.let { it != null && now - it > healthyRunTime } }
         job.isQuarantined =
-            !failures.isJobSound &&
+            !failures.isJobHealthy &&
             job.spec.shape == Shape.ARRAY &&
-            failures.machineCount >= FEW_MACHINES &&
+            failures.machineCount >= MIN_MACHINES &&
             failures.taskCount >= job.assigned.size
     }
 
-    /** Decides whether a machine is sick; asked after each failure and as time passes. */
-    fun judge(
+    /** Quarantines the machine if it is to blame for its failures; called after each failure and on every tick. */
+    fun assess(
         machine: Machine,
         now: Duration,
     ) {
-        if (machine.isQuarantined || machine.failures.isEmpty() || !isSick(machine, now)) return
+        if (machine.isQuarantined || machine.failures.isEmpty() || !isToBlame(machine, now)) return
         machine.isQuarantined = true
         log.warn(
-            "machine {} fails the tasks of {} jobs: nothing more is placed there",
+            "machine quarantined after failures: machine={} failed_jobs={}",
             machine.name.value,
             machine.failures.size,
         )
     }
 
-    private fun isSick(
+    private fun isToBlame(
         machine: Machine,
         now: Duration,
     ): Boolean {
         val evidence = machine.failures.filterKeys { id -> jobs[id]?.isQuarantined == false }
-        val ofSoundJobs = evidence.filterKeys { id -> jobs[id]?.failures?.isJobSound == true }
-        if (ofSoundJobs.values.sumOf { it.count } >= FEW_FAILURES) return true
-        if (evidence.size < FEW_JOBS) return false
-        // Of jobs that are neither sound nor doubtful yet, other tasks get time to tell.
-        return ofSoundJobs.isNotEmpty() || evidence.values.all { now - it.first >= OBSERVATION_TIME }
+        val ofHealthyJobs = evidence.filterKeys { id -> jobs[id]?.failures?.isJobHealthy == true }
+        if (ofHealthyJobs.values.sumOf { it.count } >= MIN_FAILURES) return true
+        if (evidence.size < MIN_JOBS) return false
+        // Jobs that are neither healthy nor quarantined yet get time for their tasks elsewhere to decide it.
+        return ofHealthyJobs.isNotEmpty() || evidence.values.all { now - it.first >= OBSERVATION_TIME }
     }
 
     private companion object {
-        const val FEW_MACHINES = 2
-        const val FEW_FAILURES = 2
-        const val FEW_JOBS = 2
+        /** A job that failed on one machine only may have met a faulty one. */
+        const val MIN_MACHINES = 2
+
+        /** Healthy jobs, too, fail now and then. */
+        const val MIN_FAILURES = 2
+
+        /** One job is no evidence against a machine unless it is healthy. */
+        const val MIN_JOBS = 2
 
         /** A job that fails everywhere fails on other machines within about this time. */
         val OBSERVATION_TIME = 4.seconds
 
         /** A task that runs so much longer than those that failed is not expected to fail. */
-        val LONGER = 5.seconds
+        val HEALTHY_RUN_MARGIN = 5.seconds
     }
 }
 
@@ -134,13 +147,13 @@
     private var tries = 0
 
     /** A task of the job has completed, or keeps running: it does not fail everywhere. */
-    var isJobSound = false
+    var isJobHealthy = false
 
     /** How many tasks failed. */
     var taskCount = 0
         private set
 
-    /** How long the longest of the tasks ran that failed. */
+    /** The longest run time of a task that failed. */
     var longestRun: Duration = Duration.ZERO
         private set
 
@@ -163,7 +176,7 @@
         longestRun = Duration.ZERO
     }
 
-    /** How long to wait before the next try: doubles from 4 s to 64 s. */
+    /** How long to wait before the next try: doubles with each call, from 4 s to 64 s. */
     fun nextBackOff(): Duration {
         val doublings = tries.coerceAtMost(MAX_DOUBLINGS)
         tries++
--- a/src/main/kotlin/umberslip/scheduling/JobObjectives.kt
+++ b/src/main/kotlin/umberslip/scheduling/JobObjectives.kt
@@ -6,56 +6,56 @@
 import kotlin.time.Duration.Companion.hours
 import kotlin.time.Duration.Companion.seconds
 
-/**
- * By when jobs should be done, as the operators' objectives and the jobs' own deadlines say. Pure.
- */
+/** By when jobs should be done, by the operators' service-level objectives and the jobs' own deadlines. Pure. */
 class JobObjectives(
     private val objectives: List<Objective>,
 ) {
     /**
-     * The objectiveDeadlines of a job, the earliest first; at least one. What the objectives say of its class counts
-     * from [ready], when it could run; its own deadline counts from [submitted], however long it waited for others.
+     * The objective deadlines of a job, the earliest first; at least one. The objectives of its class count from
+     * [runnableSince]; its own deadline counts from [submittedAt], however long it was blocked by dependencies.
      */
     fun objectiveDeadlines(
         spec: JobSpec,
-        submitted: Duration,
-        ready: Duration,
+        submittedAt: Duration,
+        runnableSince: Duration,
     ): List<Duration> {
-        val deadlines = deadlines(spec, submitted)
-        val byClass = objectives.mapNotNull { target(it, spec, ready) }
-        val named = if (deadlineTimes(spec).isEmpty()) byClass else byClass + deadlines
-        return named.ifEmpty { deadlines }.ifEmpty { listOf(ready + NO_DUE) }.sorted()
+        val ownDeadlines = deadlines(spec, submittedAt)
+        val ofClass = objectives.mapNotNull { deadlineOf(it, spec, runnableSince) }
+        val named = if (deadlineFactors(spec).isEmpty()) ofClass else ofClass + ownDeadlines
+        return named.ifEmpty { ownDeadlines }.ifEmpty { listOf(runnableSince + DEFAULT_DEADLINE) }.sorted()
     }
 
-    /** The job's own deadline, once for each objective of its class that stretches it. */
+    /** The job's own deadline, once for each objective of its class that stretches it by a factor. */
     fun deadlines(
         spec: JobSpec,
-        submitted: Duration,
+        submittedAt: Duration,
     ): List<Duration> {
-        val due = spec.deadlineSeconds ?: return emptyList()
-        return deadlineTimes(spec).ifEmpty { listOf(1.0) }.map { submitted + (due * it).seconds }
+        val deadlineSeconds = spec.deadlineSeconds ?: return emptyList()
+        return deadlineFactors(spec).ifEmpty { listOf(1.0) }.map { submittedAt + (deadlineSeconds * it).seconds }
     }
 
-    private fun target(
+    private fun deadlineOf(
         objective: Objective,
         spec: JobSpec,
-        ready: Duration,
+        runnableSince: Duration,
     ): Duration? =
         when (objective) {
-            is Objective.Finished -> (ready + objective.within).takeIf { objective.jobClass == spec.jobClass }
-            // A task that starts in time is done in time if it runs as long as expected.
+            is Objective.Finished ->
+                (runnableSince + objective.within).takeIf { objective.jobClass == spec.jobClass }
+            // A task that starts in time ends in time if it runs as long as expected.
             is Objective.Started ->
-                (ready + objective.within + spec.expectedSeconds.seconds)
+                (runnableSince + objective.within + spec.expectedSeconds.seconds)
                     .takeIf { objective.jobClass == spec.jobClass }
             is Objective.Deadline, is Objective.Guarantee -> null
         }
 
-    private fun deadlineTimes(spec: JobSpec): List<Double> {
+    private fun deadlineFactors(spec: JobSpec): List<Double> {
         val deadlines = objectives.filterIsInstance<Objective.Deadline>()
         return deadlines.filter { it.jobClass == spec.jobClass }.map { it.times }
     }
 
     private companion object {
-        val NO_DUE = 1.hours
+        /** For jobs without any: they come after those that have one, in the order of their submission. */
+        val DEFAULT_DEADLINE = 1.hours
     }
 }
--- a/src/main/kotlin/umberslip/scheduling/Machine.kt
+++ b/src/main/kotlin/umberslip/scheduling/Machine.kt
@@ -11,80 +11,107 @@
 import umberslip.core.TaskId
 import kotlin.time.Duration
 
-/** How often tasks of a job failed on a machine since something succeeded there, and when they first and last did. */
-class Failures(
-    val count: Int,
-    val first: Duration,
-    val last: Duration,
-)
-
-/** A machine as its heartbeats and our records show it. */
+/** A machine as its heartbeats and the records show it. Mutable; used on the leader actor's thread only. */
 class Machine(
     val name: MachineName,
+    /** Label of the instance type; empty before the first heartbeat of a machine that only the records name. */
     var type: String,
+    /** Empty before the first heartbeat of a machine that only the records name. */
     var zone: String,
     var spot: Boolean,
 ) {
-    /** Null until the machine type is known; nothing is placed before. */
+    // ---- tasks and resources ----
+
+    /** Null until the cloud's list of instance types has [type]; nothing is placed before. */
     var instanceType: InstanceType? = null
         set(value) {
             field = value
             capacity = value?.resources
         }
+
+    /** All resources of the machine; null as long as [instanceType] is. */
     var capacity: Resources? = null
         private set
-    private val held = LinkedHashMap<TaskId, Assignment>()
-    val assignments: Map<TaskId, Assignment> get() = held
+    private val assigned = LinkedHashMap<TaskId, Assignment>()
+    val assignments: Map<TaskId, Assignment> get() = assigned
 
-    /** What its assignments take; kept up to date, since every heartbeat asks for it. */
+    /** The resources of its [assignments]; updated with each of them, since every heartbeat asks for it. */
     var used: Resources = Resources.NONE
         private set
 
-    /** Ended tasks stay in heartbeats until their result is written; only then may they be cleared. */
+    /** Exited tasks stay in heartbeats until their exit is stored; only then may the worker clear them. */
     val awaitingClear = HashMap<TaskId, TaskExit>()
 
-    /** Tasks in the newest heartbeat that carried the leader's own term. */
+    /** The tasks in the newest heartbeat that carried the leader's own term. */
     var reported: Map<TaskId, ReportedTask> = emptyMap()
 
+    /** The images of its tasks. */
+    val images = MachineImages()
+    private val heartbeatSize = HeartbeatSize()
+
+    // ---- contact ----
+
     /** That of the newest heartbeat; null before the first. */
     var heartbeatVersion: HeartbeatVersion? = null
 
-    /** A heartbeat with the leader's own term has shown what is on the machine. */
+    /** Whether a heartbeat with the leader's own term has shown what is on the machine. */
     var isReconciled = false
 
-    /** The newest heartbeat shows that an answer to it arrived; without, what is told to it may be lost. */
+    /** Whether the newest heartbeat shows that the response to the one before arrived; else commands may be lost. */
     var receivesResponses = false
+
+    /** When the first heartbeat with the leader's own term was received. */
     var firstContact: Duration? = null
 
-    /** When it was last known to hear; a heartbeat alone is no sign of life. */
+    /** When the machine was last known to receive responses; a heartbeat alone is no sign of life. */
     var lastContact: Duration? = null
 
-    /** When another controller was last known to have answered it; a hint, no proof of anything. */
+    /** When a follower was last known to have renewed its lease; a hint, as followers report it with a delay. */
     var renewedByFollowerAt: Duration? = null
 
-    /** When its records were taken over. */
+    /** When its records were loaded; zero for a machine that the records did not name. */
     var loadedAt: Duration = Duration.ZERO
 
-    /** From then on, every lease that any controller can have renewed has run out. */
+    /** From then on, every lease that the leader or a former one can have renewed has expired. */
     var leaseExpiry: Duration = Duration.ZERO
 
-    /** Since when it is certain that no other controller renews its lease; null where one may. */
+    /** Since when it is certain that no follower renews its lease; null where one may. */
     var renewalRevokedAt: Duration? = null
+
+    // ---- what keeps tasks away ----
+
+    /** When the cloud interrupts this spot instance; null without a notice. */
     var interruptionAt: Duration? = null
 
-    /** Being emptied, to be returned. */
+    /** The provisioning plan has no use for the machine: it is terminated once it is empty. */
     var isDraining = false
 
-    /** Its release was asked for: nothing is told to it any more. */
+    /** Its termination was requested: it gets no commands any more. */
     var isTerminating = false
+
+    /** It fails tasks of healthy jobs, so nothing more is placed on it. */
     var isQuarantined = false
 
-    /** Takes tasks of this job only, since its tasks found no machine empty enough for long. */
+    /** A starving job, only tasks of which are placed here; null where all are. */
     var reservedFor: RunningJob? = null
         private set
     var reservedSince: Duration = Duration.ZERO
         private set
 
+    /** Nothing is placed before then, since the worker refused a task for lack of resources. */
+    var noPlacementUntil: Duration = Duration.ZERO
+
+    /** The failures here of each job since the last success of any. */
+    val failures = HashMap<JobId, MachineFailures>()
+
+    /** Whether nothing forbids work here, except that the machine may be draining. */
+    val acceptsWork: Boolean
+        get() = isReconciled && receivesResponses && !isTerminating && !isQuarantined && interruptionAt == null
+
+    /** Whether any work may be placed here. */
+    val isUsable: Boolean get() = acceptsWork && !isDraining
+
+    /** Reserves the machine for a starving job, or with null ends the reservation. */
     fun reserveFor(
         job: RunningJob?,
         now: Duration,
@@ -93,86 +120,84 @@
         reservedSince = now
     }
 
-    var fullUntil: Duration = Duration.ZERO
-
-    /** Jobs that failed here since the last success. */
-    val failures = HashMap<JobId, Failures>()
-
-    /** Images that tasks here have been started with. */
-    val images = HashSet<String>()
-
-    /** Images with which a task has run here, and how many tasks wait for each of the others. */
-    private val ready = HashSet<String>()
-    private val awaited = HashMap<String, Int>()
-
-    /** What its tasks take of a heartbeat; that of ended ones until they are cleared. */
-    private var heldBytes = 0
+    fun add(assignment: Assignment) {
+        if (assigned.put(assignment.id, assignment) != null) return
+        val spec = assignment.job.spec
+        used += assignment.resources
+        heartbeatSize.taskAdded(spec)
+        images.taskAdded(spec.image)
+    }
 
-    /** A heartbeat must stay within the protocol's size, however small the tasks are. */
-    fun fitsInHeartbeat(spec: JobSpec): Boolean {
-        val endedBytes = awaitingClear.size * LONGEST_TASK_BYTES
-        return heldBytes + endedBytes + statusBytes(spec) <= MAX_HEARTBEAT_BYTES
+    fun remove(assignment: Assignment) {
+        if (!assigned.remove(assignment.id, assignment)) return
+        val spec = assignment.job.spec
+        // Once empty, it starts from zero again, so that rounding errors do not add up.
+        used = if (assigned.isEmpty()) Resources.NONE else used - assignment.resources
+        heartbeatSize.taskRemoved(spec)
+        images.taskRemoved(spec.image)
     }
 
-    private fun statusBytes(spec: JobSpec): Int = spec.id.value.length + TASK_BYTES
+    /** A heartbeat shows that a task runs here with this image. */
+    fun taskRuns(image: String) = images.taskRuns(image)
 
-    /** How many images are fetched, or in turn to be. */
-    val fetches: Int get() = awaited.size
+    /** Null as long as [capacity] is. */
+    fun freeResources(): Resources? = capacity?.minus(used)
 
-    /** How long it fetches a job's image, with nothing else to fetch. */
-    fun fetchSeconds(spec: JobSpec): Double = instanceType?.let { spec.imageGb / it.fetchGbPerSecond } ?: 0.0
+    /** Whether heartbeats stay within the protocol's size with one more task of the job. */
+    fun fitsInHeartbeat(spec: JobSpec): Boolean = heartbeatSize.fits(spec, awaitingClear.size)
 
-    fun ran(image: String) {
-        if (ready.add(image)) awaited.remove(image)
-    }
-
-    val usable: Boolean get() = acceptsWork && !isDraining
-
-    /** Nothing forbids work here but that the fleet's plan has no use for the machine. */
-    val acceptsWork: Boolean get() = isReconciled && receivesResponses && !isTerminating && !isQuarantined && interruptionAt == null
+    /** How long the job's image takes to fetch if nothing else is fetched, in seconds; zero where that is unknown. */
+    fun fetchSeconds(spec: JobSpec): Double = instanceType?.let { spec.imageGb / it.fetchGbPerSecond } ?: 0.0
 
     /**
-     * For how long a machine that is being emptied has to stay for what runs on it; tasks that end
-     * within that time cost nothing more. Zero where there is no such time.
+     * How long a draining machine has to stay for the tasks that run on it; another task that ends within that time
+     * costs nothing more. Zero where it need not stay, or where it is not draining.
      */
     fun remainingDrainTime(now: Duration): Duration {
         if (!acceptsWork || !isDraining) return Duration.ZERO
-        val left =
-            assignments.values.maxOfOrNull { a ->
-                if (a.gracePeriod != null || a.job.spec.shape != Shape.ARRAY) {
-                    Duration.ZERO
-                } else {
-                    a.left(now) ?: Duration.ZERO
-                }
-            }
-        return left ?: Duration.ZERO
+        return assignments.values.maxOfOrNull { timeToDrain(it, now) } ?: Duration.ZERO
     }
 
-    /** For how long nothing was heard of it, directly or from another controller. */
-    fun timeSinceContact(now: Duration): Duration = now - maxOf(lastContact ?: loadedAt, renewedByFollowerAt ?: Duration.ZERO)
+    private fun timeToDrain(
+        assignment: Assignment,
+        now: Duration,
+    ): Duration {
+        if (assignment.gracePeriod != null || assignment.job.spec.shape != Shape.ARRAY) return Duration.ZERO
+        return assignment.remainingRunTime(now) ?: Duration.ZERO
+    }
 
-    fun add(a: Assignment) {
-        if (held.put(a.id, a) != null) return
-        used += a.resources
-        heldBytes += statusBytes(a.job.spec)
-        if (a.job.spec.image !in ready) awaited.merge(a.job.spec.image, 1, Int::plus)
+    /** How long ago the machine last had contact with any controller, as far as that is known. */
+    fun timeSinceContact(now: Duration): Duration {
+        val withLeader = lastContact ?: loadedAt
+        return now - maxOf(withLeader, renewedByFollowerAt ?: Duration.ZERO)
     }
+}
+
+/** How many bytes the tasks on a machine take in its heartbeats. */
+private class HeartbeatSize {
+    private var taskBytes = 0
 
-    fun drop(a: Assignment) {
-        // Emptied, it starts from zero again, so that rounding does not add up.
-        if (!held.remove(a.id, a)) return
-        used = if (held.isEmpty()) Resources.NONE else used - a.resources
-        heldBytes -= statusBytes(a.job.spec)
-        awaited.computeIfPresent(a.job.spec.image) { _, n -> if (n > 1) n - 1 else null }
+    fun taskAdded(spec: JobSpec) {
+        taskBytes += bytes(spec)
     }
 
-    fun free(): Resources? = capacity?.minus(used)
+    fun taskRemoved(spec: JobSpec) {
+        taskBytes -= bytes(spec)
+    }
+
+    /** [exitedTasks] were removed, and are listed until they are cleared. */
+    fun fits(
+        spec: JobSpec,
+        exitedTasks: Int,
+    ): Boolean = taskBytes + exitedTasks * LONGEST_TASK_BYTES + bytes(spec) <= MAX_HEARTBEAT_BYTES
+
+    private fun bytes(spec: JobSpec): Int = spec.id.value.length + TASK_BYTES
 
     private companion object {
-        /** The protocol's 64 KiB, less what a heartbeat says besides its tasks. */
+        /** The protocol's 64 KiB, less what a heartbeat contains besides its tasks. */
         const val MAX_HEARTBEAT_BYTES = 63 * 1024
 
-        /** A task in a heartbeat, but for its job's id: number, attempt, state, cause and names of fields. */
+        /** A task in a heartbeat without its job's id: index, attempt, state, cause and names of fields. */
         const val TASK_BYTES = 100
         const val LONGEST_TASK_BYTES = TASK_BYTES + JobId.MAX_LENGTH
     }
--- a/src/main/kotlin/umberslip/scheduling/Preemption.kt
+++ b/src/main/kotlin/umberslip/scheduling/Preemption.kt
@@ -8,25 +8,25 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Stops running tasks to make room for work that found none: for a more urgent job, or for a team below its
+ * Stops running tasks to free resources for work that found none: for a more urgent job, or for a team below its
  * guarantee from a team beyond its own. Only tasks that save a checkpoint when stopped are preempted, since others
  * would lose their work, and none that started a short while ago. Pure: time is an input.
  */
-class Preemption(
+internal class Preemption(
     private val scheduler: SchedulerState,
 ) {
     private val log = LoggerFactory.getLogger("umberslip.scheduling")
     private var lastRun: Duration? = null
 
-    /** A job that waits for room, with the dispatcher of its team. */
+    /** A job that waits for resources, with the dispatcher of its team. */
     private class Claimant(
         val team: Dispatcher,
         val job: RunningJob,
     ) {
-        val isGuaranteed = team.withinGuarantee(job.resources)
+        val isGuaranteed = team.quota.isWithinGuarantee(job.resources)
     }
 
-    /** Runs unless the last run was a short while ago. */
+    /** Does nothing if the last run was a short while ago. */
     fun run(now: Duration) {
         if (lastRun?.let { now - it < INTERVAL } == true) return
         lastRun = now
@@ -34,40 +34,45 @@
         val claimants = claimants(now)
         if (claimants.isEmpty()) return
         val victims = victims()
-        val usable = scheduler.machines.values.filter { it.usable }
-        // What is being stopped already makes room for the first claimants.
+        val usable = scheduler.machines.values.filter { it.isUsable }
+        // What is being stopped already frees resources for the first claimants.
         var stoppingCpus = victims.sumOf(::stoppingCpus)
         // The rest have their turn when these are placed.
         for (claimant in claimants.take(MAX_CLAIMANTS)) {
-            if (!claimant.team.withinLimit(claimant.job.resources)) continue
+            if (!claimant.team.quota.isWithinLimit(claimant.job.resources)) continue
             if (victims.none { mayPreempt(claimant, it) }) continue
             val missing = missingCpus(claimant, usable)
             val covered = minOf(stoppingCpus, missing.coerceAtLeast(0.0))
             stoppingCpus -= covered
-            makeRoom(claimant, victims, missing - covered, now)
+            preemptFor(claimant, victims, missing - covered, now)
         }
     }
 
     /** Those below their guarantee first, then by priority, then by deadline. */
     private fun claimants(now: Duration): List<Claimant> =
         scheduler.teams.values
-            .flatMap { team -> team.waiting.filter { isStarved(it, now) }.map { Claimant(team, it) } }
-            .sortedWith(compareBy({ !it.isGuaranteed }, { it.job.priority }, { it.job.due }))
+            .flatMap { team -> team.waiting.filter { isStarving(it, now) }.map { Claimant(team, it) } }
+            .sortedWith(compareBy({ !it.isGuaranteed }, { it.job.priority }, { it.job.firstDeadline }))
 
-    private fun isStarved(
+    private fun isStarving(
         job: RunningJob,
         now: Duration,
     ): Boolean =
         job.spec.shape == Shape.ARRAY &&
             !job.isQuarantined &&
             job.retryAfter <= now &&
-            now - job.waitingSince > PATIENCE
+            now - job.waitingSince > MIN_WAIT
 
-    /** Jobs whose tasks save, the first to give way first. They are ordered by job, so their tasks need no sorting. */
+    /** Jobs whose tasks save checkpoints, the first to be preempted first. Ordering jobs saves sorting all tasks. */
     private fun victims(): List<RunningJob> =
         scheduler.jobs.values
-            .filter { it.spec.checkpointIntervalSeconds > 0 && it.spec.shape == Shape.ARRAY && it.assigned.isNotEmpty() }
-            .sortedWith(compareBy({ -it.priority.ordinal }, { -it.due.inWholeMilliseconds }))
+            .filter(::isPreemptible)
+            .sortedWith(compareBy({ -it.priority.ordinal }, { -it.firstDeadline.inWholeMilliseconds }))
+
+    private fun isPreemptible(job: RunningJob): Boolean {
+        val savesCheckpoints = job.spec.checkpointIntervalSeconds > 0
+        return savesCheckpoints && job.spec.shape == Shape.ARRAY && job.assigned.isNotEmpty()
+    }
 
     private fun stoppingCpus(job: RunningJob): Double {
         val stopping = job.assigned.values.filter { it.gracePeriod != null }
@@ -80,20 +85,21 @@
     ): Boolean {
         if (victim.priority > claimant.job.priority) return true
         val victimTeam = scheduler.teams[victim.spec.team] ?: return false
-        return claimant.isGuaranteed && victimTeam !== claimant.team && victimTeam.usedCpus > victimTeam.team.cpus
+        if (!claimant.isGuaranteed || victimTeam === claimant.team) return false
+        return victimTeam.quota.usedCpus > victimTeam.quota.guaranteedCpus
     }
 
-    /** What the claimant could use beyond the free room, within its team's limit. */
+    /** What the claimant could use beyond the free resources, within its team's limit. */
     private fun missingCpus(
         claimant: Claimant,
         usable: List<Machine>,
     ): Double {
         val job = claimant.job
-        val team = claimant.team
+        val quota = claimant.team.quota
         var missing = job.waiting * job.resources.cpus
-        team.team.cpusMax?.let { missing = minOf(missing, it - team.usedCpus) }
+        quota.maxCpus?.let { missing = minOf(missing, it - quota.usedCpus) }
         if (claimant.isGuaranteed && job.priority == Priority.IDLE) {
-            missing = minOf(missing, team.team.cpus - team.usedCpus)
+            missing = minOf(missing, quota.guaranteedCpus - quota.usedCpus)
         }
         return missing - usable.sumOf { freeCpus(it, job) }
     }
@@ -102,11 +108,11 @@
         machine: Machine,
         job: RunningJob,
     ): Double {
-        if (!Dispatcher.allowed(job, machine)) return 0.0
-        return (machine.free()?.countOf(job.resources) ?: 0) * job.resources.cpus
+        if (!job.mayRunOn(machine)) return 0.0
+        return (machine.freeResources()?.countOf(job.resources) ?: 0) * job.resources.cpus
     }
 
-    private fun makeRoom(
+    private fun preemptFor(
         claimant: Claimant,
         victims: List<RunningJob>,
         cpus: Double,
@@ -117,9 +123,9 @@
             for (assignment in victim.assigned.values) {
                 if (missing <= 0) return
                 if (!isWorthStopping(assignment, claimant.job, now)) continue
-                scheduler.stop(assignment, victim.spec.checkpointSaveSeconds.seconds)
+                assignment.requestStop(victim.spec.checkpointSaveSeconds.seconds)
                 missing -= assignment.resources.cpus
-                log.debug("{} gives way on {}", assignment.id, assignment.machineName.value)
+                log.debug("task preempted: task={} machine={}", assignment.id, assignment.machineName.value)
             }
         }
     }
@@ -129,23 +135,23 @@
         claimant: RunningJob,
         now: Duration,
     ): Boolean {
-        val left = assignment.left(now) ?: return false
-        if (left <= MIN_REMAINING || !assignment.mayMigrate(now, MIN_RUN)) return false
+        val remaining = assignment.remainingRunTime(now) ?: return false
+        if (remaining <= MIN_REMAINING_RUNTIME || !assignment.mayMigrate(now, MIN_RUNTIME)) return false
         val machine = scheduler.machines[assignment.machineName] ?: return false
-        return machine.usable && Dispatcher.allowed(claimant, machine)
+        return machine.isUsable && claimant.mayRunOn(machine)
     }
 
     private companion object {
         val INTERVAL = 500.milliseconds
 
-        /** New work waits this long for room before others are stopped. */
-        val PATIENCE = 1500.milliseconds
+        /** New work waits this long for resources before others are stopped. */
+        val MIN_WAIT = 1500.milliseconds
 
         /** A start counts for the users only if no command stops the task within 30 s. */
-        val MIN_RUN = 32.seconds
+        val MIN_RUNTIME = 32.seconds
 
-        /** A task that has less left than this frees its room soon by itself. */
-        val MIN_REMAINING = 10.seconds
+        /** A task that has less left than this frees its resources soon by itself. */
+        val MIN_REMAINING_RUNTIME = 10.seconds
 
         /** Bounds the work of one run. */
         const val MAX_CLAIMANTS = 12
--- a/src/main/kotlin/umberslip/scheduling/ReconciliationObserver.kt
+++ b/src/main/kotlin/umberslip/scheduling/ReconciliationObserver.kt
@@ -7,8 +7,8 @@
 import kotlin.time.Duration
 
 /**
- * Is told how the scheduler state of one term is reconciled with what is on the machines. It only observes: nothing
- * that it does changes a decision. Called on the leader actor's thread.
+ * Observes how the scheduler state of one term is reconciled with what is on the machines. Nothing that it does changes
+ * a decision. Called on the leader actor's thread.
  */
 interface ReconciliationObserver {
     /** The records were loaded; [recordedTasks] has the number of recorded starts on each machine. */
@@ -18,8 +18,8 @@
     )
 
     /**
-     * The first heartbeat of this term that is proof of what is on [machine] lists [reported]. Called before the
-     * scheduler state changes by it.
+     * The first heartbeat of this term that shows what is on [machine] lists [reported]. Called before the scheduler
+     * state is changed by it.
      */
     fun machineReconciled(
         machine: Machine,
@@ -28,24 +28,25 @@
         now: Duration,
     )
 
-    /** The machine is certainly gone, with all that was recorded on it. */
+    /** Nothing is on the machine any more: it is terminated, or all its leases have expired. */
     fun machineLost(
         name: MachineName,
         now: Duration,
     )
 }
 
-/** Is told when this controller begins and ends to lead. Called on the leader actor's thread. */
+/** Observes when this controller is elected and steps down. Called on the leader actor's thread. */
 interface LeaderTermListener {
-    /** Answers the observer of the new term; null where nobody wants to observe it. */
+    /** Returns the observer of the new term; null if it is not to be observed. */
     fun elected(
         term: Term,
         now: Duration,
     ): ReconciliationObserver?
 
+    /** The controller does not lead any more; it may also be called if it did not lead. */
     fun steppedDown()
 
-    /** For a leader that nobody observes. */
+    /** Observes nothing. */
     object None : LeaderTermListener {
         override fun elected(
             term: Term,
--- /dev/null
+++ b/src/main/kotlin/umberslip/scheduling/RecordLoader.kt
@@ -0,0 +1,117 @@
+package umberslip.scheduling
+
+import umberslip.core.JobId
+import umberslip.core.MachineName
+import umberslip.records.Keys
+import umberslip.records.LogRecord
+import umberslip.records.LoggedExit
+import umberslip.records.Placement
+import umberslip.records.RecordView
+import umberslip.records.Versioned
+import kotlin.time.Duration
+
+/**
+ * Takes up what former leaders recorded: progress of the jobs, the write-ahead log on top of it, and the machines whose
+ * lease renewal is revoked. The jobs themselves are loaded before. Used once in each term.
+ */
+internal class RecordLoader(
+    private val jobs: Map<JobId, RunningJob>,
+    private val machines: MutableMap<MachineName, Machine>,
+    private val assignments: AssignmentLifecycle,
+    private val writeAheadLog: WriteAheadLog,
+    private val now: Duration,
+    /** By then, every lease that a former leader can have renewed has expired. */
+    private val formerLeaseExpiry: Duration,
+) {
+    fun load(records: RecordView) {
+        loadProgress(records)
+        for ((number, record) in records.log().entries.sortedBy { it.value.value.seq }) {
+            loadLogEntry(number, record, records)
+        }
+        records.revokedRenewals?.let {
+            writeAheadLog.load(it, machines.keys)
+            for (machineName in it.value.machineNames) machines[machineName]?.renewalRevokedAt = now
+        }
+    }
+
+    private fun loadProgress(records: RecordView) {
+        for ((id, blocks) in records.progressRecords()) {
+            val job = jobs[id]
+            if (job == null) {
+                blocks.keys.forEach { writeAheadLog.drop(Keys.progress(id, it)) }
+                continue
+            }
+            for ((number, record) in blocks) {
+                job.load(number, record)
+                for (placement in record.value.placed) restore(job, placement)
+            }
+        }
+    }
+
+    private fun loadLogEntry(
+        number: Int,
+        entry: Versioned<LogRecord>,
+        records: RecordView,
+    ) {
+        val named = LinkedHashSet<ProgressBlock>()
+        for ((id, row) in entry.value.rows) {
+            val job = jobs[id] ?: continue
+            val stored = records.progressRecords()[id]
+
+            // A progress record that was written after this entry contains it.
+            fun containsEntry(block: ProgressBlock) = (stored?.get(block.number)?.value?.seq ?: 0L) >= entry.value.seq
+            for (start in row.starts) {
+                val block = job.block(start.index)
+                if (containsEntry(block)) continue
+                applyStart(job, block, start)
+                named += block
+            }
+            for (exit in row.ends) {
+                val block = job.block(exit.index)
+                if (containsEntry(block)) continue
+                applyExit(job, exit)
+                named += block
+            }
+        }
+        writeAheadLog.load(number, entry.version, named, now)
+    }
+
+    private fun applyStart(
+        job: RunningJob,
+        block: ProgressBlock,
+        start: Placement,
+    ) {
+        // Later entries win: a task is placed elsewhere only after it was certainly off its former machine.
+        job.assigned[start.index]?.let(assignments::detach)
+        if (!job.isDone(start.index)) restore(job, start)
+        block.lastAttempt = maxOf(block.lastAttempt, start.attempt)
+        block.startLogged(start)
+    }
+
+    private fun applyExit(
+        job: RunningJob,
+        exit: LoggedExit,
+    ) {
+        if (exit.done) job.setDone(exit.index)
+        val assignment = job.assigned[exit.index] ?: return
+        if (exit.done || assignment.attempt == exit.attempt) assignments.detach(assignment)
+    }
+
+    private fun restore(
+        job: RunningJob,
+        placement: Placement,
+    ) {
+        val machine = machines.getOrPut(placement.machineName) { unreportedMachine(placement.machineName) }
+        val assignment = Assignment(job, placement.index, placement.attempt, placement.machineName, machine.zone)
+        assignment.recorded = true
+        assignments.attach(assignment, machine)
+    }
+
+    /** Records name a machine only; its type and zone come with its first heartbeat. */
+    private fun unreportedMachine(name: MachineName): Machine {
+        val machine = Machine(name, type = "", zone = "", spot = false)
+        machine.leaseExpiry = formerLeaseExpiry
+        machine.loadedAt = now
+        return machine
+    }
+}
--- a/src/main/kotlin/umberslip/scheduling/RunningJob.kt
+++ b/src/main/kotlin/umberslip/scheduling/RunningJob.kt
@@ -1,13 +1,9 @@
 package umberslip.scheduling
 
-import umberslip.agents.TaskState
 import umberslip.core.JobId
 import umberslip.core.JobSpec
-import umberslip.core.MachineName
 import umberslip.core.Priority
 import umberslip.core.Resources
-import umberslip.core.Shape
-import umberslip.core.TaskId
 import umberslip.records.JobRecord
 import umberslip.records.Placement
 import umberslip.records.ProgressRecord
@@ -16,207 +12,211 @@
 import java.util.TreeSet
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.hours
-import kotlin.time.Duration.Companion.seconds
-import kotlin.time.DurationUnit
-
-/** A task that is, or may be, on a machine. */
-class Assignment(
-    val job: RunningJob,
-    val index: Int,
-    var attempt: Long,
-    val machineName: MachineName,
-    val zone: String,
-) {
-    val id = TaskId(job.spec.id, index)
-    val resources: Resources get() = job.resources
-
-    /** Holds a slot for a gang that is not complete yet: neither recorded nor started. */
-    var reserved = false
-
-    /** The start is in the key-value store, in the log or in its progress block, so it may be told to the worker. */
-    var recorded = false
-    var status: TaskState? = null
-
-    /** The newest heartbeat of its machine shows it. */
-    var seen = false
-    var runningSince: Duration? = null
 
-    /** What it should still need, by its job's expected run time; null until it runs. */
-    fun left(now: Duration): Duration? = runningSince?.let { job.expectedRunTime - (now - it) }
-
-    /** It runs, saves when stopped, and began at least [settled] ago, so it can go on elsewhere at little loss. */
-    fun mayMigrate(
-        now: Duration,
-        settled: Duration,
-    ): Boolean {
-        val since = runningSince ?: return false
-        return gracePeriod == null &&
-            status == TaskState.RUNNING &&
-            job.spec.checkpointIntervalSeconds > 0 &&
-            job.spec.shape == Shape.ARRAY &&
-            now - since >= settled
-    }
-
-    /** Set once it shall stop; the worker then has this long to save. */
-    var gracePeriod: Duration? = null
-}
-
-/** An accepted job that has not ended, with all its tasks. */
+/**
+ * An accepted job that has not ended, with all its tasks. Mutable; used on the leader actor's thread only.
+ * Times are those of the leader's monotonic clock.
+ */
 class RunningJob(
     val spec: JobSpec,
+    /** The newest job record that is known, with its version in the store. */
     var record: Versioned<JobRecord>,
+    /** How many tasks one progress record covers. */
     val tasksPerBlock: Int,
-    /** When its user first handed it in. */
+    /** When its user first submitted it. */
     val submittedAt: Duration,
     /** The times by which its users want it done, the earliest first; at least one. */
     objectiveDeadlines: List<Duration>,
-    /** Those of them that its own deadline sets; they hold for the jobs that it needs, too. */
+    /** Those of them that its own deadline sets; they also hold for the jobs that it depends on. */
     val deadlines: List<Duration> = emptyList(),
 ) {
-    /** Needed jobs whose recorded end is not known to be done; nothing is placed while there are any. */
+    val resources = Resources(spec.cpus, spec.gpus, spec.memoryGb)
+    val cancelled: Boolean get() = record.value.cancelled
+
+    // ---- dependencies ----
+
+    /** The jobs that it depends on and whose success is not recorded; nothing is placed while there are any. */
     val pending = HashSet<JobId>()
 
-    /** A job that it needs is cancelled, so it can never be done. */
+    /** A job that it depends on is cancelled, so it can never run. */
     var dependencyCancelled = false
-
     val isBlocked: Boolean get() = dependencyCancelled || pending.isNotEmpty()
 
-    /** From when on it could run: it was handed in, or the last job that it needs was done. */
+    /** Since when it may run: since its submission, or since the last job that it depends on succeeded. */
     var runnableSince: Duration = submittedAt
         private set
-    private var own = objectiveDeadlines
-    private var inherited = emptyList<Duration>()
 
-    /** Its own objectiveDeadlines and those that it has for the sake of jobs that need it. */
+    // ---- priority and deadlines ----
+
+    private var ownDeadlines = objectiveDeadlines
+    private var inheritedDeadlines = emptyList<Duration>()
+
+    /** Its own objective deadlines and those that it inherits from jobs that depend on it, the earliest first. */
     var objectiveDeadlines: List<Duration> = objectiveDeadlines
         private set
-    val due: Duration get() = objectiveDeadlines.first()
 
-    /** The next target that it can still meet; its place in the queue goes by it. */
-    var nextReachableDeadline: Duration = due
+    /** The first of its objective deadlines. */
+    val firstDeadline: Duration get() = objectiveDeadlines.first()
+
+    /** Decides its position in the queue, which is why only the queue changes it; see [nextReachableDeadlineAt]. */
+    var nextReachableDeadline: Duration = firstDeadline
 
-    /** The highest of its own and of any unfinished job that needs it. */
+    /** The highest of its own and of those of the unfinished jobs that depend on it. */
     var priority: Priority = spec.priority
         private set
 
-    /** The last job that it needs is done: what its users wait for counts from now on. */
-    fun becomeRunnable(
-        own: List<Duration>,
-        now: Duration,
-    ) {
-        runnableSince = now
-        lastPlaced = now
-        waitingSince = now
-        this.own = own
-        retarget(now)
-    }
-
-    /** For the sake of jobs that need it. */
-    fun inherit(
-        priority: Priority,
-        inherited: List<Duration>,
-        now: Duration,
-    ) {
-        this.priority = priority
-        this.inherited = inherited
-        retarget(now)
-    }
+    // ---- tasks ----
 
-    private fun retarget(now: Duration) {
-        objectiveDeadlines = (own + inherited).sorted()
-        nextReachableDeadline = nextReachableDeadlineAt(now)
-    }
-
-    val resources = Resources(spec.cpus, spec.gpus, spec.memoryGb)
     private val done = BitSet()
     var doneCount = 0
         private set
+
+    /** The tasks that are, or may be, on a machine, by index. */
     val assigned = HashMap<Int, Assignment>()
-    private val blocks = arrayOfNulls<ProgressBlock>((spec.tasks + tasksPerBlock - 1) / tasksPerBlock)
 
-    /** Tasks that came back from a machine and wait again; the rest of the waiting are [fresh] and later. */
-    private val returned = TreeSet<Int>()
-    private var fresh = 0
+    /** How many tasks are assigned in each zone; the empty name stands for zones that are not known yet. */
     val zones = HashMap<String, Int>()
+    private val blocks = arrayOfNulls<ProgressBlock>((spec.tasks + tasksPerBlock - 1) / tasksPerBlock)
+
+    /** Tasks that were on a machine and wait again; the other waiting ones are [firstUnplaced] and later. */
+    private val requeued = TreeSet<Int>()
+    private var firstUnplaced = 0
 
-    val cancelled: Boolean get() = record.value.cancelled
     val finished: Boolean get() = doneCount == spec.tasks
+
+    /** How many tasks may be placed. */
     val waiting: Int get() = if (cancelled || isBlocked) 0 else spec.tasks - doneCount - assigned.size
 
-    /** Nothing of it runs or will run. */
+    /** Whether nothing of it is on a machine or will be, so that its outcome may be written. */
     val isTerminal: Boolean get() = if (cancelled || dependencyCancelled) assigned.isEmpty() else finished
 
-    fun isDone(index: Int): Boolean = done.get(index)
-
-    fun setDone(index: Int) {
-        if (done.get(index)) return
-        done.set(index)
-        doneCount++
-        returned.remove(index)
-    }
+    // ---- scheduling ----
 
-    /** After failures on several machines, the job's tasks wait before the next try. */
+    /** Nothing is placed before then, after failures on several machines. */
     var retryAfter: Duration = Duration.ZERO
     val failures = JobFailures()
 
-    /** It fails on every machine so far, probably by its own mistake: its tasks are tried one at a time. */
+    /** It has failed on every machine so far, probably by its own fault: its tasks are tried one at a time. */
     var isQuarantined = false
 
-    /** When a task of the job was last placed, or the job came. */
+    /** When a task of the job was last placed, or the job became known or runnable. */
     var lastPlaced: Duration = Duration.ZERO
 
+    /** When the job became known or runnable. */
     var waitingSince: Duration = Duration.ZERO
+    private val runTime = RunTimeEstimate(spec.expectedSeconds)
+
+    /** The expected run time of a task in seconds, by those observed, else by the specification. */
+    val expectedSeconds: Double get() = runTime.seconds
+    val expectedRunTime: Duration get() = runTime.duration
 
-    /** Own observation of a task's run time, once there is one. */
-    private var observedSeconds: Double? = null
+    /** How long the gang may hold resources while it is incomplete. */
+    var assemblyTimeout: Duration = Duration.ZERO
 
-    /** The expected run time of a task: what was seen, else what the leader thinks. */
-    val expected: Double get() = observedSeconds ?: spec.expectedSeconds.coerceAtLeast(1.0)
+    /** Since when the incomplete gang holds resources; null while it holds none. */
+    var assemblingSince: Duration? = null
 
-    /** [expected] as a time; kept, since it is asked for with every task that is looked at. */
-    var expectedRunTime: Duration = expected.seconds
-        private set
+    /** The next assembly may begin then. */
+    var nextAssemblyAt: Duration = Duration.ZERO
 
-    fun observed(took: Duration) {
-        val seconds = took.toDouble(DurationUnit.SECONDS)
-        observedSeconds = observedSeconds?.let { it * (1 - NEWEST_SHARE) + seconds * NEWEST_SHARE } ?: seconds
-        expectedRunTime = expected.seconds
+    /** The last job that it depends on has succeeded: its objectives count from now on. */
+    fun becomeRunnable(
+        ownDeadlines: List<Duration>,
+        now: Duration,
+    ) {
+        runnableSince = now
+        lastPlaced = now
+        waitingSince = now
+        this.ownDeadlines = ownDeadlines
+        updateDeadlines(now)
     }
 
-    /** How long a gang may gather slots; doubles whenever it had to give them back. */
-    var assemblyTimeout: Duration = Duration.ZERO
-    var assemblingSince: Duration? = null
-    var nextAssemblyAt: Duration = Duration.ZERO
+    /** Takes over from the jobs that depend on it. Its position in the queue may change by this. */
+    fun inherit(
+        priority: Priority,
+        deadlines: List<Duration>,
+        now: Duration,
+    ) {
+        this.priority = priority
+        inheritedDeadlines = deadlines
+        updateDeadlines(now)
+    }
 
-    fun block(index: Int): ProgressBlock = blockNumber(index / tasksPerBlock)
+    private fun updateDeadlines(now: Duration) {
+        objectiveDeadlines = (ownDeadlines + inheritedDeadlines).sorted()
+        nextReachableDeadline = nextReachableDeadlineAt(now)
+    }
 
-    fun blockNumber(number: Int): ProgressBlock = blocks[number] ?: ProgressBlock(this, number).also { blocks[number] = it }
+    /**
+     * The first objective deadline that a task started now can meet. Work that has missed one makes way for what can
+     * still be in time, and counts again for the next; what has missed all comes last.
+     */
+    fun nextReachableDeadlineAt(now: Duration): Duration =
+        objectiveDeadlines.firstOrNull { now + expectedRunTime <= it }
+            ?: (objectiveDeadlines.last() + ALL_MISSED_DELAY)
+
+    /** A task completed after this run time. */
+    fun runTimeObserved(runTime: Duration) = this.runTime.observed(runTime)
+
+    /** Whether its tasks may be on that machine, given where its other tasks are. */
+    fun mayRunOn(machine: Machine): Boolean {
+        if (spec.instanceTypes != null && machine.type !in spec.instanceTypes) return false
+        if (spec.zone != null && machine.zone != spec.zone) return false
+        if (machine.spot && !spec.spot) return false
+        if (spec.oneZone && zones.isNotEmpty() && machine.zone !in zones) return false
+        if (!spec.spread) return true
+        // Machines that only the records name may be in this zone.
+        return (zones[machine.zone] ?: 0) + (zones[""] ?: 0) < spec.maxPerZone
+    }
 
-    fun knownBlocks(): List<ProgressBlock> = blocks.filterNotNull()
+    fun isDone(index: Int): Boolean = done.get(index)
 
-    fun highestAttempt(): Long = blocks.maxOfOrNull { it?.lastAttempt ?: 0L } ?: 0L
+    fun setDone(index: Int) {
+        if (done.get(index)) return
+        done.set(index)
+        doneCount++
+        requeued.remove(index)
+    }
 
-    /** The next task to place, without taking it; null where none waits. */
-    fun peek(): Int? {
+    /** The next task to place, which stays waiting; null if none may be placed. */
+    fun nextTask(): Int? {
         if (cancelled || isBlocked) return null
-        returned.firstOrNull()?.let { return it }
-        while (fresh < spec.tasks && (done.get(fresh) || assigned.containsKey(fresh))) fresh++
-        return if (fresh < spec.tasks) fresh else null
+        if (requeued.isNotEmpty()) return requeued.first()
+        while (firstUnplaced < spec.tasks && isPlacedOrDone(firstUnplaced)) firstUnplaced++
+        return if (firstUnplaced < spec.tasks) firstUnplaced else null
     }
 
-    fun place(a: Assignment) {
-        returned.remove(a.index)
-        assigned[a.index] = a
-        zones.merge(a.zone, 1, Int::plus)
+    private fun isPlacedOrDone(index: Int): Boolean = done.get(index) || assigned.containsKey(index)
+
+    fun place(assignment: Assignment) {
+        requeued.remove(assignment.index)
+        assigned[assignment.index] = assignment
+        zones.merge(assignment.zone, 1, Int::plus)
     }
 
-    fun unplace(a: Assignment) {
-        if (assigned[a.index] !== a) return
-        assigned.remove(a.index)
-        zones.computeIfPresent(a.zone) { _, n -> if (n > 1) n - 1 else null }
-        if (!done.get(a.index)) returned.add(a.index)
+    /** The task waits again unless it is done. An assignment that was replaced meanwhile has no effect. */
+    fun unplace(assignment: Assignment) {
+        if (assigned[assignment.index] !== assignment) return
+        assigned.remove(assignment.index)
+        zones.computeIfPresent(assignment.zone) { _, count -> if (count > 1) count - 1 else null }
+        if (!done.get(assignment.index)) requeued.add(assignment.index)
     }
 
+    /** The progress block that covers a task. */
+    fun block(index: Int): ProgressBlock = blockNumber(index / tasksPerBlock)
+
+    fun blockNumber(number: Int): ProgressBlock {
+        val known = blocks[number]
+        return known ?: ProgressBlock(this, number).also { blocks[number] = it }
+    }
+
+    /** Blocks that have been used; those of the other tasks have nothing to write. */
+    fun knownBlocks(): List<ProgressBlock> = blocks.filterNotNull()
+
+    /** The highest attempt number that any of its tasks was given. */
+    fun highestAttempt(): Long = blocks.maxOfOrNull { it?.lastAttempt ?: 0L } ?: 0L
+
+    /** Takes over a stored progress record; its placements are left to the caller. */
     fun load(
         number: Int,
         record: Versioned<ProgressRecord>,
@@ -225,36 +225,29 @@
         block.version = record.version
         block.lastAttempt = record.value.lastAttempt
         block.storedDone = record.value.done
-        val base = number * tasksPerBlock
+        val firstIndex = number * tasksPerBlock
         record.value.done
             .stream()
-            .forEach { setDone(base + it) }
+            .forEach { setDone(firstIndex + it) }
     }
 
+    /** The block's progress as it is to be stored; [seq] is that of the newest log entry that it contains. */
     fun progressRecord(
         block: ProgressBlock,
         seq: Long,
     ): ProgressRecord {
-        val base = block.number * tasksPerBlock
-        val end = minOf(base + tasksPerBlock, spec.tasks)
+        val firstIndex = block.number * tasksPerBlock
+        val end = minOf(firstIndex + tasksPerBlock, spec.tasks)
         val placed = ArrayList<Placement>()
-        for (i in base until end) {
-            assigned[i]?.takeIf { !it.reserved }?.let { placed += Placement(i, it.attempt, it.machineName) }
+        for (index in firstIndex until end) {
+            val assignment = assigned[index] ?: continue
+            if (!assignment.reserved) placed += Placement(index, assignment.attempt, assignment.machineName)
         }
-        return ProgressRecord(done.get(base, end), placed, block.lastAttempt, seq)
+        return ProgressRecord(done.get(firstIndex, end), placed, block.lastAttempt, seq)
     }
 
-    /**
-     * Work that is late for one target makes way for what can still be in time, but for the next one it counts again.
-     */
-    fun nextReachableDeadlineAt(now: Duration): Duration =
-        objectiveDeadlines.firstOrNull { now + expectedRunTime <= it }
-            ?: (objectiveDeadlines.last() + LATE)
-
     private companion object {
-        val LATE = 1.hours
-
-        /** The weight of the newest run time in the mean of those observed. */
-        const val NEWEST_SHARE = 0.3
+        /** Puts work that has missed all its deadlines behind what can be in time, though not behind it for ever. */
+        val ALL_MISSED_DELAY = 1.hours
     }
 }
--- a/src/main/kotlin/umberslip/scheduling/StarvationGuard.kt
+++ b/src/main/kotlin/umberslip/scheduling/StarvationGuard.kt
@@ -5,17 +5,19 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Gives a share of the processors dispatched to the jobs that wait longest, whatever their priority and team, and the
- * longer they wait the larger it is. Under a lasting overload the order of priority alone would leave some of them
+ * Gives a share of the dispatched processors to the jobs that wait longest, whatever their priority and team; the
+ * longer they wait, the larger it is. Under a lasting overload the order of priority alone would leave some of them
  * waiting for ever; so every job is reached in bounded time. While nobody has waited long, priority decides alone.
  * Pure: time is an input.
  */
 class StarvationGuard {
+    /** Jobs with tasks to place, the longest waiting first. */
     private val queue = TreeSet(compareBy<RunningJob>({ it.runnableSince }, { it.spec.id.value }))
 
-    /** Processors that the starving jobs may still be dispatched out of turn. */
-    private var credit = 0.0
+    /** Processors that starving jobs may still be given out of turn. */
+    private var creditCpus = 0.0
 
+    /** Puts the job into the queue, or takes it out, by whether it has tasks to place. */
     fun refresh(job: RunningJob) {
         if (job.waiting > 0) queue.add(job) else queue.remove(job)
     }
@@ -24,46 +26,51 @@
         queue.remove(job)
     }
 
-    /**
-     * The job whose turn it is as the longest waiting of those that [may] be placed; null where the turn is another's.
-     */
+    /** The longest starving job that [mayPlace] allows; null if it is not the turn of the starving jobs. */
     fun next(
         now: Duration,
-        may: (RunningJob) -> Boolean,
+        mayPlace: (RunningJob) -> Boolean,
     ): RunningJob? {
-        if (credit <= 0) return null
+        if (creditCpus <= 0) return null
         return queue
             .asSequence()
-            .takeWhile { now - it.runnableSince >= LONG }
-            .firstOrNull { !it.isQuarantined && may(it) }
+            .takeWhile { now - it.runnableSince >= STARVING_AFTER }
+            .firstOrNull { !it.isQuarantined && mayPlace(it) }
     }
 
-    /** A task was placed; [turn] says that it was placed as the longest waiting one, not by its priority. */
+    /** A task of [job] was placed; [outOfTurn] if that was as the longest starving job, not by its priority. */
     fun dispatched(
         job: RunningJob,
-        turn: Boolean,
+        outOfTurn: Boolean,
         now: Duration,
     ) {
-        val cost = job.resources.cpus
+        val cpus = job.resources.cpus
         val first = queue.firstOrNull { !it.isQuarantined }
-        val waited = if (first == null) Duration.ZERO else now - first.runnableSince
-        val share = share(waited)
-        credit = if (share <= 0) 0.0 else (credit + cost * share - if (turn) cost else 0.0).coerceIn(-BOUND, BOUND)
+        val share = if (first == null) 0.0 else shareAfter(now - first.runnableSince)
+        if (share <= 0) {
+            creditCpus = 0.0
+            return
+        }
+        val charged = if (outOfTurn) cpus else 0.0
+        creditCpus = (creditCpus + cpus * share - charged).coerceIn(-MAX_CREDIT_CPUS, MAX_CREDIT_CPUS)
     }
 
-    /** What of all dispatching goes to the longest waiting, by how long the first of them has waited. */
-    private fun share(waited: Duration): Double =
-        if (waited < LONG) {
-            0.0
-        } else {
-            minOf(MOST, LEAST + (MOST - LEAST) * ((waited - LONG) / (TOO_LONG - LONG)))
-        }
+    /** The starving jobs' share of all dispatched processors, by how long the first of them has waited. */
+    private fun shareAfter(waited: Duration): Double {
+        if (waited < STARVING_AFTER) return 0.0
+        val progress = (waited - STARVING_AFTER) / (LARGEST_SHARE_AFTER - STARVING_AFTER)
+        return minOf(LARGEST_SHARE, FIRST_SHARE + (LARGEST_SHARE - FIRST_SHARE) * progress)
+    }
 
     private companion object {
-        const val LEAST = 0.2
-        const val MOST = 0.8
-        const val BOUND = 32.0
-        val LONG = 90.seconds
-        val TOO_LONG = 180.seconds
+        const val FIRST_SHARE = 0.2
+
+        /** What is left keeps work of high priority moving. */
+        const val LARGEST_SHARE = 0.8
+
+        /** Bounds how much one side makes up for after it had nothing to place. */
+        const val MAX_CREDIT_CPUS = 32.0
+        val STARVING_AFTER = 90.seconds
+        val LARGEST_SHARE_AFTER = 180.seconds
     }
 }
--- a/src/main/kotlin/umberslip/scheduling/WeightedRoundRobin.kt
+++ b/src/main/kotlin/umberslip/scheduling/WeightedRoundRobin.kt
@@ -1,34 +1,42 @@
 package umberslip.scheduling
 
 /**
- * Turns among teams: smooth weighted round-robin, by the processors dispatched. Teams below their
- * guarantee go first; beyond the guarantees, only the teams with the highest priority work take turns.
+ * Turns among teams: smooth weighted round-robin, measured in dispatched processors. Teams below their guaranteed
+ * quota go first; beyond the guarantees, only the teams with work of the highest priority take turns.
  */
 object WeightedRoundRobin {
+    /**
+     * The dispatcher whose turn it is, each given with the job that it would place; null if there are none.
+     * Charges the turn to its [Dispatcher.credit].
+     */
     fun next(candidates: Map<Dispatcher, RunningJob>): Dispatcher? {
         if (candidates.isEmpty()) return null
-        val owed = candidates.filter { (team, job) -> team.withinGuarantee(job.resources) }.keys
-        val urgent = candidates.values.minOf { it.priority }
-        val among = owed.ifEmpty { candidates.filter { (_, job) -> job.priority == urgent }.keys }
+        val turns = turns(candidates)
+        val totalWeight = turns.sumOf { it.quota.weight }
         val chosen =
-            among.maxWith(
+            turns.maxWith(
                 compareBy<Dispatcher> {
-                    it.credit + it.weight / total(among) * cost(candidates, it)
+                    it.credit + it.quota.weight / totalWeight * cpusOfTurn(candidates, it)
                 }.thenBy { it.team.name },
             )
-        val cost = cost(candidates, chosen)
-        for (team in among) team.credit += team.weight / total(among) * cost
-        chosen.credit -= cost
+        val cpus = cpusOfTurn(candidates, chosen)
+        for (team in turns) team.credit += team.quota.weight / totalWeight * cpus
+        chosen.credit -= cpus
         return chosen
     }
 
-    private fun total(teams: Collection<Dispatcher>): Double = teams.sumOf { it.weight }
+    private fun turns(candidates: Map<Dispatcher, RunningJob>): Collection<Dispatcher> {
+        val guaranteed = candidates.filter { (team, job) -> team.quota.isWithinGuarantee(job.resources) }.keys
+        if (guaranteed.isNotEmpty()) return guaranteed
+        val highest = candidates.values.minOf { it.priority }
+        return candidates.filter { (_, job) -> job.priority == highest }.keys
+    }
 
-    private fun cost(
+    private fun cpusOfTurn(
         candidates: Map<Dispatcher, RunningJob>,
         team: Dispatcher,
-    ): Double = candidates[team]?.resources?.cpus?.coerceAtLeast(LEAST_CPUS) ?: 1.0
+    ): Double = candidates[team]?.resources?.cpus?.coerceAtLeast(MIN_CPUS_OF_TURN) ?: 1.0
 
     /** A task that takes no processors still takes a turn. */
-    private const val LEAST_CPUS = 0.1
+    private const val MIN_CPUS_OF_TURN = 0.1
 }
--- a/src/main/kotlin/umberslip/scheduling/WorkerCommands.kt
+++ b/src/main/kotlin/umberslip/scheduling/WorkerCommands.kt
@@ -8,11 +8,14 @@
 import kotlin.time.Duration
 import kotlin.time.DurationUnit
 
-/** Derives the orders for a worker from the records and from the worker's newest heartbeat. Pure. */
-class WorkerCommands(
+/** Derives the commands for a worker from the recorded assignments and the worker's newest heartbeat. Pure. */
+internal class WorkerCommands(
     private val jobs: Map<JobId, RunningJob>,
 ) {
-    /** The same orders are given until a heartbeat shows that they were carried out. */
+    /**
+     * The commands that answer the newest heartbeat of [machine]; starts are among them only if [mayStart]. They are
+     * repeated until a heartbeat shows that they were carried out.
+     */
     fun of(
         machine: Machine,
         mayStart: Boolean,
@@ -24,11 +27,11 @@
         for (reported in machine.reported.values) {
             val assignment = machine.assignments[reported.task]
             if (assignment != null && assignment.attempt == reported.attempt) {
-                stopOf(assignment)?.let { commands += it }
+                stop(assignment)?.let { commands += it }
             } else if (reported.status != TaskState.EXITED) {
                 uncleared += reported.task
                 commands += WorkerCommand.Stop(reported.task, reported.attempt, 0.0)
-            } else if (isSuperseded(reported) || isEndRecorded(machine, reported)) {
+            } else if (isSuperseded(reported) || isExitRecorded(machine, reported)) {
                 commands += WorkerCommand.Clear(reported.task, reported.attempt)
             } else {
                 uncleared += reported.task
@@ -38,23 +41,23 @@
         return commands
     }
 
-    private fun stopOf(assignment: Assignment): WorkerCommand.Stop? {
+    private fun stop(assignment: Assignment): WorkerCommand.Stop? {
         val gracePeriod = if (assignment.job.cancelled) Duration.ZERO else assignment.gracePeriod ?: return null
         return WorkerCommand.Stop(assignment.id, assignment.attempt, gracePeriod.toDouble(DurationUnit.SECONDS))
     }
 
-    /** A later start of the task is recorded, which settles what became of this one. */
+    /** A later start of the task is recorded, so the exit of this one is of no interest. */
     private fun isSuperseded(reported: ReportedTask): Boolean {
         val assignment = jobs[reported.task.job]?.assigned?.get(reported.task.index) ?: return false
         return assignment.recorded && assignment.attempt > reported.attempt
     }
 
-    private fun isEndRecorded(
+    private fun isExitRecorded(
         machine: Machine,
         reported: ReportedTask,
     ): Boolean {
-        val ending = machine.awaitingClear[reported.task] ?: return true
-        return ending.attempt != reported.attempt || ending.isRecorded
+        val exit = machine.awaitingClear[reported.task] ?: return true
+        return exit.attempt != reported.attempt || exit.isRecorded
     }
 
     private fun addStarts(
@@ -65,13 +68,13 @@
         for (assignment in machine.assignments.values) {
             if (commands.size >= MAX_COMMANDS) return
             if (!assignment.recorded || assignment.job.cancelled || assignment.gracePeriod != null) continue
-            if (assignment.seen || assignment.id in uncleared) continue
+            if (assignment.isReported || assignment.id in uncleared) continue
             commands += WorkerCommand.Start(assignment.id, assignment.attempt)
         }
     }
 
     private companion object {
-        /** Keeps an answer within the size that the protocol allows. */
+        /** Keeps a response within the size that the protocol allows. */
         const val MAX_COMMANDS = 300
     }
 }
--- a/src/test/kotlin/umberslip/scheduling/DependencyGraphTest.kt
+++ b/src/test/kotlin/umberslip/scheduling/DependencyGraphTest.kt
@@ -189,7 +189,7 @@
         assertEquals(model.isBlocked(id), job.isBlocked, "$id blocked")
         assertEquals(model.priority(id, jobs.keys), job.priority, "$id priority")
         val own = job.spec.deadlineSeconds?.seconds ?: 3600.seconds
-        assertEquals(listOfNotNull(own, model.inherited(id, jobs.keys)).min(), job.due, "$id due")
+        assertEquals(listOfNotNull(own, model.inherited(id, jobs.keys)).min(), job.firstDeadline, "$id due")
         val lineage =
             DependencyState.of(job.record.value, { jobs[it]?.record?.value }) {
                 if (it in model.done) {
@@ -261,7 +261,7 @@
                 second.waiting,
                 t.scheduler.teams
                     .getValue("green")
-                    .usedCpus,
+                    .quota.usedCpus,
             ),
             "it holds nothing",
         )
--- a/src/test/kotlin/umberslip/scheduling/DispatcherTest.kt
+++ b/src/test/kotlin/umberslip/scheduling/DispatcherTest.kt
@@ -36,8 +36,8 @@
                 val t = TestScheduler()
                 val one = t.job { it.copy(cpus = size.toDouble()) }
                 val other = t.job { it.copy(cpus = 1.0, priority = one.spec.priority) }
-                val x = team("x", a * 10.0).also { it.take(Resources(1e6, 0.0, 0.0)) }
-                val y = team("y", b * 10.0).also { it.take(Resources(1e6, 0.0, 0.0)) }
+                val x = team("x", a * 10.0).also { it.quota.allocate(Resources(1e6, 0.0, 0.0)) }
+                val y = team("y", b * 10.0).also { it.quota.allocate(Resources(1e6, 0.0, 0.0)) }
                 val dispatched = HashMap<Dispatcher, Double>()
                 repeat(2000) {
                     val next = WeightedRoundRobin.next(mapOf(x to one, y to other)) ?: error("nobody's turn")
@@ -81,7 +81,7 @@
                         .flatMap { it.assignments.values }
                         .filter { it.job.spec.team == dispatcher.team.name }
                         .sumOf { it.resources.cpus }
-                assertEquals(used, dispatcher.usedCpus, 1e-6)
+                assertEquals(used, dispatcher.quota.usedCpus, 1e-6)
                 dispatcher.team.cpusMax?.let { assertTrue(used <= it + 1e-6) }
             }
             for (m in t.scheduler.machines.values) {
--- a/src/test/kotlin/umberslip/scheduling/SchedulerStateTest.kt
+++ b/src/test/kotlin/umberslip/scheduling/SchedulerStateTest.kt
@@ -598,7 +598,7 @@
                 .toSet()
                 .size,
         )
-        t.scheduler.stop(placed(gang).first(), 4.seconds)
+        placed(gang).first().requestStop(4.seconds)
         assertTrue(gang.assigned.values.all { it.gracePeriod == 4.seconds }, "stopped together, so that it can save")
     }
 
@@ -675,7 +675,7 @@
                 .toSet(),
         )
         assertEquals(5.seconds, t.machine("m").timeSinceContact(t.now))
-        assertFalse(t.machine("m").usable)
+        assertFalse(t.machine("m").isUsable)
         // A new session settles what was told before; an answer that arrived makes it whole again.
         t.heartbeat("m", session = 2, sequenceNumber = 9)
         assertEquals(0, t.machine("m").assignments.size)
@@ -831,7 +831,7 @@
         val before =
             t.scheduler.teams
                 .getValue("green")
-                .considered
+                .jobsConsidered
         repeat(20) {
             t.heartbeat("m")
             t.dispatch("m")
@@ -840,7 +840,7 @@
             before,
             t.scheduler.teams
                 .getValue("green")
-                .considered,
+                .jobsConsidered,
         )
     }
 
