--- a/src/main/kotlin/umberslip/agents/HeartbeatCodec.kt
+++ b/src/main/kotlin/umberslip/agents/HeartbeatCodec.kt
@@ -3,9 +3,9 @@
 import umberslip.core.MachineName
 import umberslip.core.TaskId
 import umberslip.core.Term
+import umberslip.http.DocumentReader
 import umberslip.http.Documents
 import umberslip.http.MalformedMessageException
-import umberslip.http.Streamed
 
 /**
  * Reads heartbeats. Hundreds arrive every second, each with all tasks of a machine, so they are read as they stream by
@@ -15,7 +15,7 @@
     /** Throws [MalformedMessageException], which names the wrong field as the protocol does. */
     fun parse(body: ByteArray): Heartbeat = Documents.readCbor(body, ::readHeartbeat)
 
-    private fun readHeartbeat(input: Streamed): Heartbeat {
+    private fun readHeartbeat(input: DocumentReader): Heartbeat {
         var machineName: String? = null
         var type: String? = null
         var zone: String? = null
@@ -59,7 +59,7 @@
         return MachineName(name)
     }
 
-    private fun readTask(input: Streamed): ReportedTask {
+    private fun readTask(input: DocumentReader): ReportedTask {
         var task: TaskId? = null
         var attempt: Long? = null
         var state: TaskState? = null
--- a/src/main/kotlin/umberslip/daemon/HeartbeatReceiver.kt
+++ b/src/main/kotlin/umberslip/daemon/HeartbeatReceiver.kt
@@ -5,6 +5,7 @@
 import org.slf4j.LoggerFactory
 import umberslip.agents.FollowerLeaseRenewal
 import umberslip.agents.Heartbeat
+import umberslip.agents.HeartbeatCodec
 import umberslip.http.MalformedMessageException
 import umberslip.http.Request
 import umberslip.http.Response
--- a/src/main/kotlin/umberslip/scheduling/SchedulerState.kt
+++ b/src/main/kotlin/umberslip/scheduling/SchedulerState.kt
@@ -351,7 +351,7 @@
         val block = Keys.asProgress(key)
         val job = Keys.asJob(key)
         when {
-            block != null -> jobs[block.first]?.blockNumber(block.second)?.version = version ?: Version.NONE
+            block != null -> jobs[block.job]?.blockNumber(block.block)?.version = version ?: Version.NONE
             job != null && version == null -> jobs[job]?.let(::remove)
             job != null && version != null && data != null -> resolveJob(job, version, data)
             else -> writeAheadLog.resolve(key, version)
