--- a/src/main/kotlin/umberslip/agents/Heartbeat.kt
+++ b/src/main/kotlin/umberslip/agents/Heartbeat.kt
@@ -56,8 +56,8 @@
 )
 
 /**
- * Orders the heartbeats of one machine: the larger is the newer. [session] is the agent epoch, which rises each time the
- * worker's lease expires and it starts over without tasks; [sequenceNumber] counts within it.
+ * Orders the heartbeats of one machine: the larger is the newer. [session] is the agent epoch, which rises each time
+ * the worker's lease expires and it starts over without tasks; [sequenceNumber] counts within it.
  */
 data class HeartbeatVersion(
     val session: Long,
--- a/src/main/kotlin/umberslip/daemon/Daemon.kt
+++ b/src/main/kotlin/umberslip/daemon/Daemon.kt
@@ -26,8 +26,8 @@
 import kotlin.time.TimeSource
 
 /**
- * One controller as a process: its sockets, its clocks and its metrics. Everything runs on one thread, that of the event
- * loop; nothing may block there.
+ * One controller as a process: its sockets, its clocks and its metrics. Everything runs on one thread, that of the
+ * event loop; nothing may block there.
  */
 class Daemon(
     private val settings: Settings,
--- a/src/main/kotlin/umberslip/provisioning/IdleMachines.kt
+++ b/src/main/kotlin/umberslip/provisioning/IdleMachines.kt
@@ -53,7 +53,9 @@
     private fun maxIdleTime(machine: MachineSnapshot): Duration = if (machine.offer.spot) tuning.idle else tuning.idle / ORDINARY_IDLE_DIVISOR
 
     private companion object {
-        /** An ordinary machine may be idle for one part in so many of a spot instance's time: it costs that much more. */
+        /**
+         * An ordinary machine may be idle for one part in so many of a spot instance's time: it costs that much more.
+         */
         const val ORDINARY_IDLE_DIVISOR = 4
     }
 }
--- a/src/main/kotlin/umberslip/recovery/archive/RecordComparison.kt
+++ b/src/main/kotlin/umberslip/recovery/archive/RecordComparison.kt
@@ -8,7 +8,8 @@
 import umberslip.recovery.RecordedWork
 
 /**
- * What happened to a task whose start was recorded before. [jsonName] is published and stays when a constant is renamed.
+ * What happened to a task whose start was recorded before. [jsonName] is published and stays when a constant is
+ * renamed.
  */
 enum class TaskChange(
     val jsonName: String,
--- a/src/test/kotlin/umberslip/architecture/PackageDependenciesTest.kt
+++ b/src/test/kotlin/umberslip/architecture/PackageDependenciesTest.kt
@@ -94,7 +94,9 @@
     private fun packageOf(qualified: String): String = qualified.removePrefix("umberslip.")
 
     private companion object {
-        /** The package of an import; types and their members begin with capital letters, functions follow the package. */
+        /**
+         * The package of an import; types and their members begin with capital letters, functions follow the package.
+         */
         val IMPORT = Regex("""^import (umberslip(?:\.[a-z][a-zA-Z]*)*)\.[A-Za-z]\w*(?:\.[A-Z]\w*)*$""")
     }
 }
--- a/src/test/kotlin/umberslip/loopback/LoopbackCloud.kt
+++ b/src/test/kotlin/umberslip/loopback/LoopbackCloud.kt
@@ -13,50 +13,50 @@
 class LoopbackCloud(
     private val capacity: Int,
     private val listLag: Duration,
-    private val boot: (MachineName, Offer) -> Unit,
-    private val halt: (MachineName) -> Unit,
+    private val onBoot: (MachineName, Offer) -> Unit,
+    private val onTerminate: (MachineName) -> Unit,
 ) : AutoCloseable {
-    private class Rented(
+    private class Instance(
         val name: MachineName,
         val offer: Offer,
-        val since: Duration,
+        val provisionedAt: Duration,
     ) {
-        var goneAt: Duration? = null
+        var terminatedAt: Duration? = null
     }
 
     private val origin = TimeSource.Monotonic.markNow()
-    private val rented = LinkedHashMap<MachineName, Rented>()
-    private val answered = HashMap<String, List<String>>()
+    private val instances = LinkedHashMap<MachineName, Instance>()
+    private val answersByRequest = HashMap<String, List<String>>()
     private val server = CborServer { synchronized(this) { answer(it) } }
 
     val address get() = server.address
 
     /** When each machine was rented, since the start. */
-    fun rentals(): List<Duration> = synchronized(this) { rented.values.map { it.since } }
+    fun provisionedAt(): List<Duration> = synchronized(this) { instances.values.map { it.provisionedAt } }
 
     fun now(): Duration = origin.elapsedNow()
 
     /** Takes machines back with no notice. */
-    fun takeBack(machineNames: Collection<MachineName>) = synchronized(this) { machineNames.forEach(::end) }
+    fun interrupt(machineNames: Collection<MachineName>) = synchronized(this) { machineNames.forEach(::terminate) }
 
-    private fun end(machineName: MachineName) {
-        val machine = rented[machineName] ?: return
-        if (machine.goneAt != null) return
-        machine.goneAt = now()
-        halt(machineName)
+    private fun terminate(machineName: MachineName) {
+        val machine = instances[machineName] ?: return
+        if (machine.terminatedAt != null) return
+        machine.terminatedAt = now()
+        onTerminate(machineName)
     }
 
     private fun answer(request: CborRequest): CborAnswer =
         when {
             request.path == "/flavors" -> CborAnswer(200, mapOf("hosttypes" to ClusterSize.SMALL.map(::instanceType)))
             request.path == "/rentals" && request.method == "GET" -> list()
-            request.path == "/rentals" -> rent(request.fields())
+            request.path == "/rentals" -> provision(request.fields())
             request.path == "/rentals/release" -> {
                 request
                     .fields()
                     .textsOrNull("hosts")
                     .orEmpty()
-                    .forEach { end(MachineName(it)) }
+                    .forEach { terminate(MachineName(it)) }
                 CborAnswer(200, emptyMap<String, Any?>())
             }
             else -> CborAnswer(404, mapOf("error" to "no such path"))
@@ -74,24 +74,24 @@
             "halls" to it.zones,
         )
 
-    private fun rent(fields: Fields): CborAnswer {
+    private fun provision(fields: Fields): CborAnswer {
         val request = fields.text("hire")
-        answered[request]?.let { return CborAnswer(200, mapOf("hosts" to it)) }
+        answersByRequest[request]?.let { return CborAnswer(200, mapOf("hosts" to it)) }
         val offer = Offer(fields.text("hosttype"), fields.text("hall"), fields.flag("reclaimable"))
-        val resources = capacity - rented.values.count { it.goneAt == null }
-        val number = minOf(fields.long("number").toInt(), resources)
+        val available = capacity - instances.values.count { it.terminatedAt == null }
+        val number = minOf(fields.long("number").toInt(), available)
         if (number <= 0) return CborAnswer(503, mapOf("error" to "no capacity"))
-        val names = List(number) { MachineName("host-%06d".format(rented.size + it)) }
+        val names = List(number) { MachineName("host-%06d".format(instances.size + it)) }
         for (name in names) {
-            rented[name] = Rented(name, offer, now())
-            boot(name, offer)
+            instances[name] = Instance(name, offer, now())
+            onBoot(name, offer)
         }
-        return CborAnswer(200, mapOf("hosts" to names.map { it.value }.also { answered[request] = it }))
+        return CborAnswer(200, mapOf("hosts" to names.map { it.value }.also { answersByRequest[request] = it }))
     }
 
     private fun list(): CborAnswer {
         val asOf = now() - listLag
-        val listed = rented.values.filter { it.since <= asOf && it.goneAt.let { gone -> gone == null || gone > asOf } }
+        val listed = instances.values.filter { it.provisionedAt <= asOf && it.terminatedAt.let { gone -> gone == null || gone > asOf } }
         val machineNames =
             listed.map {
                 mapOf(
@@ -101,7 +101,7 @@
                     "hall" to it.offer.zone,
                     "reclaimable" to it.offer.spot,
                     "status" to "running",
-                    "age_s" to (asOf - it.since).toDouble(DurationUnit.SECONDS),
+                    "age_s" to (asOf - it.provisionedAt).toDouble(DurationUnit.SECONDS),
                 )
             }
         return CborAnswer(200, mapOf("hosts" to machineNames, "has_next" to false))
--- a/src/test/kotlin/umberslip/loopback/LoopbackWorkers.kt
+++ b/src/test/kotlin/umberslip/loopback/LoopbackWorkers.kt
@@ -30,18 +30,18 @@
 sealed interface WorkerEvent {
     val at: Duration
 
-    data class Ordered(
+    data class CommandReceived(
         override val at: Duration,
         val verb: String,
         val task: String,
     ) : WorkerEvent
 
-    data class Began(
+    data class TaskStarted(
         override val at: Duration,
         val task: String,
-        val machinesAtOnce: Int,
+        val machineCount: Int,
         /** Its end had been recorded before. */
-        val wasFinished: Boolean,
+        val exitWasRecorded: Boolean,
     ) : WorkerEvent
 
     /** Its lease ran out, and its tasks were killed. */
@@ -68,13 +68,13 @@
         val name: MachineName,
         val offer: Offer,
     ) {
-        var session = 1L
+        var epoch = 1L
         var sequenceNumber = 0L
         var fencingToken = 0L
-        var lastAnswered = Duration.ZERO
+        var leaseRenewedAt = Duration.ZERO
         var target = 0
-        var formerLeaseExpiry = Duration.ZERO
-        var gone = false
+        var pausedUntil = Duration.ZERO
+        var isTerminated = false
         val tasks = LinkedHashMap<String, Task>()
     }
 
@@ -87,7 +87,7 @@
     private val events = ArrayList<WorkerEvent>()
 
     /** Tasks whose end some controller has recorded, since it had the worker clear them. */
-    private val recordedEnds = HashSet<String>()
+    private val recordedExits = HashSet<String>()
     private val specs = ConcurrentHashMap<String, JobSpec>()
 
     fun now(): Duration = origin.elapsedNow()
@@ -96,90 +96,90 @@
         specs[spec.id.value] = spec
     }
 
-    private fun <T> look(what: () -> T): T = runBlocking { withContext(thread) { what() } }
+    private fun <T> onThread(what: () -> T): T = runBlocking { withContext(thread) { what() } }
 
-    fun events(): List<WorkerEvent> = look { events.toList() }
+    fun events(): List<WorkerEvent> = onThread { events.toList() }
 
-    fun running(): Int = look { workers.values.sumOf { w -> w.tasks.values.count { it.status == "running" } } }
+    fun running(): Int = onThread { workers.values.sumOf { w -> w.tasks.values.count { it.status == "running" } } }
 
     /** What runs, or has ended and is not cleared, on these machines. */
     fun tasksOn(machineNames: Collection<MachineName>): Set<String> =
-        look {
+        onThread {
             machineNames.flatMapTo(HashSet()) { workers[it]?.tasks?.keys.orEmpty() }
         }
 
-    fun names(): List<MachineName> = look { workers.values.filter { !it.gone }.map { it.name } }
+    fun names(): List<MachineName> = onThread { workers.values.filter { !it.isTerminated }.map { it.name } }
 
     /** They run on, and report nothing for a while. */
-    fun silence(
+    fun pauseHeartbeats(
         machineNames: Collection<MachineName>,
         time: Duration,
-    ) = look { machineNames.forEach { workers[it]?.formerLeaseExpiry = now() + time } }
+    ) = onThread { machineNames.forEach { workers[it]?.pausedUntil = now() + time } }
 
     fun boot(
         name: MachineName,
         offer: Offer,
     ) {
         scope.launch {
-            delay(BOOT)
+            delay(BOOT_TIME)
             val worker = Worker(name, offer)
-            worker.lastAnswered = now()
+            worker.leaseRenewedAt = now()
             workers[name] = worker
             launch { run(worker) }
-            while (!worker.gone) {
-                if (now() >= worker.formerLeaseExpiry) heartbeat(worker)
+            while (!worker.isTerminated) {
+                if (now() >= worker.pausedUntil) heartbeat(worker)
                 delay(heartbeatInterval)
             }
         }
     }
 
-    fun halt(name: MachineName) {
+    fun terminate(name: MachineName) {
         scope.launch {
             workers[name]?.let {
-                it.gone = true
+                it.isTerminated = true
                 it.tasks.clear()
             }
         }
     }
 
     private suspend fun run(worker: Worker) {
-        while (!worker.gone) {
-            delay(STEP)
+        while (!worker.isTerminated) {
+            delay(TICK)
             worker.tasks.values
                 .filter { it.status == "running" && it.endsAt <= now() }
                 .forEach { it.status = "ended" }
-            if (now() - worker.lastAnswered <= lease) continue
+            if (now() - worker.leaseRenewedAt <= lease) continue
             events += WorkerEvent.LeaseExpired(now(), worker.tasks.size)
             worker.tasks.clear()
-            worker.session++
-            worker.lastAnswered = now()
+            worker.epoch++
+            worker.leaseRenewedAt = now()
         }
     }
 
     private suspend fun heartbeat(worker: Worker) {
         val sent = now()
-        val session = worker.session
+        val epoch = worker.epoch
         worker.sequenceNumber++
-        val reply = enqueue(worker) ?: return migrate(worker, null)
-        if (reply.status != 200) return migrate(worker, reply.fields().textOrNull("dispatcher"))
-        if (worker.gone || worker.session != session || now() - sent > DROPPED_AFTER) return
+        val reply = send(worker) ?: return redirect(worker, null)
+        if (reply.status != 200) return redirect(worker, reply.fields().textOrNull("dispatcher"))
+        if (worker.isTerminated || worker.epoch != epoch || now() - sent > RESPONSE_TIMEOUT) return
         val fields = reply.fields()
         if (fields.long("warrant") < worker.fencingToken) return
         worker.fencingToken = fields.long("warrant")
-        worker.lastAnswered = sent
-        fields.maps("orders").forEach { carryOut(worker, it) }
+        worker.leaseRenewedAt = sent
+        fields.maps("orders").forEach { execute(worker, it) }
     }
 
-    private suspend fun enqueue(worker: Worker): Reply? =
+    private suspend fun send(worker: Worker): Reply? =
         try {
-            clients[worker.target].call(HttpMethod.POST, "/agent/beat", body(worker), DROPPED_AFTER)
+            clients[worker.target].call(HttpMethod.POST, "/agent/beat", body(worker), RESPONSE_TIMEOUT)
         } catch (_: ServiceUnavailableException) {
             null
         } catch (_: NoResponseException) {
             null
         }
 
-    private fun migrate(
+    private fun redirect(
         worker: Worker,
         named: String?,
     ) {
@@ -194,7 +194,7 @@
             "hosttype" to worker.offer.type,
             "hall" to worker.offer.zone,
             "reclaimable" to worker.offer.spot,
-            "shift" to worker.session,
+            "shift" to worker.epoch,
             "counter" to worker.sequenceNumber,
             "warrant" to worker.fencingToken,
             "pieces" to
@@ -204,26 +204,26 @@
                 },
         )
 
-    private fun carryOut(
+    private fun execute(
         worker: Worker,
         command: Fields,
     ) {
         val name = command.text("piece")
         val attempt = command.long("try")
         val here = worker.tasks[name]
-        events += WorkerEvent.Ordered(now(), command.text("verb"), name)
+        events += WorkerEvent.CommandReceived(now(), command.text("verb"), name)
         when (command.text("verb")) {
-            "start" -> if (here == null) begin(worker, name, attempt)
+            "start" -> if (here == null) start(worker, name, attempt)
             "stop" -> if (here?.attempt == attempt) worker.tasks.remove(name)
             "clear" ->
                 if (here?.attempt == attempt && here.status == "ended") {
                     worker.tasks.remove(name)
-                    recordedEnds += name
+                    recordedExits += name
                 }
         }
     }
 
-    private fun begin(
+    private fun start(
         worker: Worker,
         name: String,
         attempt: Long,
@@ -231,7 +231,7 @@
         val spec = specs.getValue(name.substringBeforeLast('/'))
         worker.tasks[name] = Task(attempt, now() + spec.expectedSeconds.seconds)
         val machines = workers.values.count { it.tasks[name]?.status == "running" }
-        events += WorkerEvent.Began(now(), name, machines, wasFinished = name in recordedEnds)
+        events += WorkerEvent.TaskStarted(now(), name, machines, exitWasRecorded = name in recordedExits)
     }
 
     override fun close() {
@@ -241,10 +241,10 @@
 
     private companion object {
         const val MAX_BODY = 1 shl 20
-        val STEP = 50.milliseconds
-        val BOOT = 300.milliseconds
+        val TICK = 50.milliseconds
+        val BOOT_TIME = 300.milliseconds
 
         /** Answers that come later than that are dropped, as the protocol says. */
-        val DROPPED_AFTER = 4.seconds
+        val RESPONSE_TIMEOUT = 4.seconds
     }
 }
--- a/src/test/kotlin/umberslip/loopback/RestartScenario.kt
+++ b/src/test/kotlin/umberslip/loopback/RestartScenario.kt
@@ -27,7 +27,7 @@
 import kotlin.time.DurationUnit
 
 /** How large a restart on loopback is, and how long its workers' leases are. */
-class SceneSize(
+class ScenarioSize(
     val machines: Int,
     val jobs: Int,
     val tasksPerJob: Int,
@@ -57,7 +57,7 @@
 
 /** Three controllers as processes, and around them workers, cloud and key-value store that outlive them all. */
 class RestartScenario(
-    private val size: SceneSize,
+    private val size: ScenarioSize,
     directory: Path,
     arguments: List<String> = emptyList(),
 ) : AutoCloseable {
@@ -67,7 +67,7 @@
     lateinit var workers: LoopbackWorkers
         private set
     val cloud: LoopbackCloud =
-        LoopbackCloud(size.machines, size.listLag, { machineName, offer -> workers.boot(machineName, offer) }, { workers.halt(it) })
+        LoopbackCloud(size.machines, size.listLag, { machineName, offer -> workers.boot(machineName, offer) }, { workers.terminate(it) })
     val controllers = ControllerProcesses(CONTROLLERS, directory, arguments, ::settings)
     private val group = MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory())
     private val clients = controllers.addresses.map { HttpClient(group, it, 1 shl 20) }
--- a/src/test/kotlin/umberslip/sim/ProtocolRules.kt
+++ b/src/test/kotlin/umberslip/sim/ProtocolRules.kt
@@ -7,8 +7,8 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Checks the protocol's rules against what really is on the machines and what users were answered; knows nothing of what
- * controllers think.
+ * Checks the protocol's rules against what really is on the machines and what users were answered; knows nothing of
+ * what controllers think.
  */
 class ProtocolRules(
     private val simulation: Simulation,
--- a/src/test/kotlin/umberslip/sim/RulesTest.kt
+++ b/src/test/kotlin/umberslip/sim/RulesTest.kt
@@ -16,35 +16,35 @@
 class RulesTest {
     @ParameterizedTest
     @ValueSource(ints = [1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16])
-    fun `rules hold whatever fails`(seed: Int) = play(seed, 1.0, ::trouble)
+    fun `rules hold whatever fails`(seed: Int) = check(seed, 1.0, ::anyFault)
 
     /** Controllers of the cut zone renew leases; the cloud is away at times, so nothing is sure by a release. */
     @ParameterizedTest
     @ValueSource(ints = [101, 102, 103, 104, 105, 106, 107, 108, 109, 110, 111, 112])
-    fun `rules hold while zones cannot reach each other`(seed: Int) = play(seed, 6.0, ::cuts)
+    fun `rules hold while zones cannot reach each other`(seed: Int) = check(seed, 6.0, ::zoneCuts)
 
     /** Alone, and mixed with all the others, on few machines and on many. */
     @ParameterizedTest
     @ValueSource(ints = [201, 202, 203, 204, 205, 206, 207, 208, 209, 210, 211, 212, 213, 214, 215, 216])
-    fun `rules hold with deaf machines, late copies, isolated controllers and quick returns`(seed: Int) {
-        val troubles = listOf(::deaf, ::isolated, ::quick)
+    fun `rules hold with lost responses, late copies, isolated controllers and quick returns`(seed: Int) {
+        val faults = listOf(::lostResponses, ::isolatedControllers, ::quickRestarts)
         val mixed = { cluster: SimulatedCluster, random: Random ->
-            troubles.random(random)(cluster, random)
-            if (random.nextInt(3) == 0) trouble(cluster, random)
+            faults.random(random)(cluster, random)
+            if (random.nextInt(3) == 0) anyFault(cluster, random)
         }
-        play(
+        check(
             seed,
             if (seed % 2 == 0) 1.0 else 4.0,
-            troubles.getOrElse(seed % 5) { mixed },
+            faults.getOrElse(seed % 5) { mixed },
             copied = 0.05,
             machines = if (seed % 3 == 0) 9 else 3,
         )
     }
 
-    private fun play(
+    private fun check(
         seed: Int,
-        length: Double,
-        trouble: (SimulatedCluster, Random) -> Unit,
+        runTimeFactor: Double,
+        anyFault: (SimulatedCluster, Random) -> Unit,
         copied: Double = 0.0,
         machines: Int = 3,
     ) {
@@ -57,19 +57,19 @@
                 Fixtures::settingsJson,
             )
         for (i in 0..2) cluster.startController(i)
-        var number = 0
-        var next = Duration.ZERO
+        var nextNumber = 0
+        var nextSubmission = Duration.ZERO
         while (cluster.now() < 150.seconds) {
-            if (cluster.now() >= next) {
+            if (cluster.now() >= nextSubmission) {
                 cluster.submit(
-                    Fixtures.job(random, number++).let {
-                        it.copy(expectedSeconds = it.expectedSeconds * length, tasks = minOf(it.tasks, 30))
+                    Fixtures.job(random, nextNumber++).let {
+                        it.copy(expectedSeconds = it.expectedSeconds * runTimeFactor, tasks = minOf(it.tasks, 30))
                     },
                     if (random.nextInt(5) == 0) random.nextInt(1, 40).seconds else null,
                 )
-                next = cluster.now() + random.nextInt(1, 8).seconds * 3 / machines
+                nextSubmission = cluster.now() + random.nextInt(1, 8).seconds * 3 / machines
             }
-            trouble(cluster, random)
+            anyFault(cluster, random)
             cluster.run(1.seconds)
         }
         // Left in peace, everything that was accepted comes to its end.
@@ -84,7 +84,7 @@
         assertEquals(cluster.acceptedJobs, cluster.finishedJobs + cluster.cancelledJobs, "jobs that ended; ${cluster.describe()}")
     }
 
-    private fun cuts(
+    private fun zoneCuts(
         cluster: SimulatedCluster,
         random: Random,
     ) {
@@ -97,7 +97,7 @@
         }
     }
 
-    private fun deaf(
+    private fun lostResponses(
         cluster: SimulatedCluster,
         random: Random,
     ) {
@@ -106,7 +106,7 @@
         }
     }
 
-    private fun isolated(
+    private fun isolatedControllers(
         cluster: SimulatedCluster,
         random: Random,
     ) {
@@ -119,7 +119,7 @@
         }
     }
 
-    private fun quick(
+    private fun quickRestarts(
         cluster: SimulatedCluster,
         random: Random,
     ) {
@@ -134,7 +134,7 @@
         }
     }
 
-    private fun trouble(
+    private fun anyFault(
         cluster: SimulatedCluster,
         random: Random,
     ) {
--- a/src/test/kotlin/umberslip/sim/SimulatedCluster.kt
+++ b/src/test/kotlin/umberslip/sim/SimulatedCluster.kt
@@ -14,8 +14,8 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Several actual controllers with a key-value store, a cloud, workers and users in virtual time. The protocol's rules are
- * checked all the time against what really is on the machines; [violations] has what was found.
+ * Several actual controllers with a key-value store, a cloud, workers and users in virtual time. The protocol's rules
+ * are checked all the time against what really is on the machines; [violations] has what was found.
  */
 @OptIn(ExperimentalCoroutinesApi::class)
 class SimulatedCluster(
