--- a/src/main/kotlin/umberslip/api/SubmissionWriter.kt
+++ b/src/main/kotlin/umberslip/api/SubmissionWriter.kt
@@ -80,13 +80,21 @@
                     },
                 writes = submissions.map { Write.Put(Keys.job(it.id), it.record.toMap()) },
             )
+        } catch (e: RateLimitedException) {
+            writes.lower()
+            notWritten(submissions, e)
+            null
         } catch (e: ServiceUnavailableException) {
-            if (e is RateLimitedException) writes.lower()
-            log.debug("submissions not written: jobs={} reason={}", submissions.size, e.message)
+            notWritten(submissions, e)
             null
         } catch (e: NoResponseException) {
             // Accepted or not: the user's retry shows which.
             log.info("outcome of submissions is indeterminate: jobs={} reason={}", submissions.size, e.message)
             null
         }
+
+    private fun notWritten(
+        submissions: List<PendingSubmission>,
+        failure: ServiceUnavailableException,
+    ) = log.debug("submissions not written: jobs={} reason={}", submissions.size, failure.message)
 }
--- a/src/main/kotlin/umberslip/records/RecordReplica.kt
+++ b/src/main/kotlin/umberslip/records/RecordReplica.kt
@@ -11,8 +11,7 @@
 
 /**
  * This controller's copy of the records of all unfinished jobs. Pure state, confined to one thread: the [RecordWatcher]
- * reads the key-value store. Changes may be applied repeatedly and out of order; of each key, the newest version
- * counts.
+ * reads the key-value store. Changes may be applied repeatedly and out of order; the newest version of a key counts.
  */
 class RecordReplica : RecordView {
     private val log = LoggerFactory.getLogger("umberslip.records")
--- a/src/main/kotlin/umberslip/records/RecordWatcher.kt
+++ b/src/main/kotlin/umberslip/records/RecordWatcher.kt
@@ -161,8 +161,7 @@
     }
 
     private suspend fun readAll(): List<RecordEvent> {
-        // Changes are read on from the first page's revision: those that the later pages show already are applied
-        // twice.
+        // Changes are read on from the first page's revision: what later pages show already is applied twice.
         val pages = RecordPages.read(store)
         revision = pages.revision
         log.info("all records read: records={} revision={}", pages.entries.size, pages.revision)
--- a/src/main/kotlin/umberslip/settings/SettingsParser.kt
+++ b/src/main/kotlin/umberslip/settings/SettingsParser.kt
@@ -102,7 +102,11 @@
         )
     }
 
-    private fun member(file: Fields): String = file.text(SettingsKey.MEMBER).ifEmpty { throw InvalidSettingsException("${SettingsKey.MEMBER} is empty") }
+    private fun member(file: Fields): String {
+        val member = file.text(SettingsKey.MEMBER)
+        if (member.isEmpty()) throw InvalidSettingsException("${SettingsKey.MEMBER} is empty")
+        return member
+    }
 
     private fun peer(fields: Fields) =
         Peer(
@@ -119,7 +123,8 @@
         val teams = settings.maps(SettingsKey.TEAMS).map(::team)
         val path = settings.path(SettingsKey.TEAMS)
         if (teams.isEmpty()) throw InvalidSettingsException("$path is empty")
-        if (teams.distinctBy { it.name }.size != teams.size) throw InvalidSettingsException("$path names a team twice")
+        val names = teams.mapTo(HashSet()) { it.name }
+        if (names.size != teams.size) throw InvalidSettingsException("$path names a team twice")
         return teams
     }
 
--- a/src/main/kotlin/umberslip/store/KeyValueStoreProtocol.kt
+++ b/src/main/kotlin/umberslip/store/KeyValueStoreProtocol.kt
@@ -43,7 +43,10 @@
 
     private fun version(fields: Fields) = Version(fields.long(VERSION))
 
-    fun precondition(precondition: Precondition): Map<String, Any?> = mapOf(KEY to precondition.key, VERSION to precondition.version.value)
+    fun precondition(precondition: Precondition): Map<String, Any?> {
+        val version = precondition.version.value
+        return mapOf(KEY to precondition.key, VERSION to version)
+    }
 
     fun write(write: Write): Map<String, Any?> =
         when (write) {
--- a/src/test/kotlin/umberslip/api/FeasibilityTest.kt
+++ b/src/test/kotlin/umberslip/api/FeasibilityTest.kt
@@ -16,7 +16,14 @@
             TeamSettings("green", 0.0, 0.0, null, null),
         ).associateBy { it.name }
     private val job =
-        Fixtures.job(Random(1), 1).copy(team = "blue", instanceTypes = null, zone = null, cpus = 4.0, memoryGb = 4.0, tasks = 10)
+        Fixtures.job(Random(1), 1).copy(
+            team = "blue",
+            instanceTypes = null,
+            zone = null,
+            cpus = 4.0,
+            memoryGb = 4.0,
+            tasks = 10,
+        )
 
     private fun objection(spec: JobSpec) =
         Feasibility.objection(
@@ -27,7 +34,7 @@
         )
 
     @Test
-    fun `what can run is not refused, and what never can is`() {
+    fun `a job that can run has no objection, and one that never can has`() {
         assertEquals(null, objection(job))
         assertEquals("unknown team", objection(job.copy(team = "red")))
         assertEquals("needs more than the team's limit", objection(job.copy(shape = Shape.GANG)))
--- a/src/test/kotlin/umberslip/api/JobApiTest.kt
+++ b/src/test/kotlin/umberslip/api/JobApiTest.kt
@@ -62,10 +62,10 @@
     private fun statusOf(response: Response) = response.status to (response.body as Map<*, *>)["status"]
 
     @Test
-    fun `jobs that are malformed, can't run or are known already`() {
+    fun `malformed, infeasible and already accepted jobs get the status codes of the API`() {
         val good = job(1)
         for (
-        (field, bad) in listOf(
+        (field, invalid) in listOf(
             "vcpus" to null,
             "vcpus" to "two",
             "expected_s" to Double.NaN,
@@ -74,7 +74,7 @@
             "one_zone" to null,
         )
         ) {
-            assertEquals(400, submit(good, mapOf(field to bad)).status, "$field $bad")
+            assertEquals(400, submit(good, mapOf(field to invalid)).status, "$field $invalid")
         }
         assertEquals(400, cluster.ask(0, "POST", "/api/jobs", listOf(1)).status)
         assertEquals(404 to null, status(good), "nothing was accepted")
@@ -92,7 +92,7 @@
             mapOf("awaits" to listOf("run-777777")),
         )
         ) {
-            assertEquals(200, submit(good, change, at = 2).status, "a known job, whatever else is said")
+            assertEquals(200, submit(good, change, at = 2).status, "accepted before, whatever else is sent")
         }
         cluster.run(60.seconds)
         assertEquals(200 to "done", status(good, 1))
@@ -101,28 +101,28 @@
     }
 
     @Test
-    fun `what a job may await`() {
+    fun `what a job may depend on`() {
         val first = job(1)
         val service = job(2) { it.copy(shape = Shape.DAEMON) }
         val other = job(3)
         assertEquals(201, submit(first).status)
         assertEquals(201, submit(service).status)
 
-        fun awaiting(vararg ids: String) = submit(other, mapOf("awaits" to ids.toList()), at = 1).status
-        assertEquals(422, awaiting("run-555555"))
-        assertEquals(422, awaiting(first.id.value, other.id.value))
-        assertEquals(422, awaiting(service.id.value))
-        assertEquals(400, awaiting("not an id"))
+        fun dependingOn(vararg ids: String) = submit(other, mapOf("awaits" to ids.toList()), at = 1).status
+        assertEquals(422, dependingOn("run-555555"))
+        assertEquals(422, dependingOn(first.id.value, other.id.value))
+        assertEquals(422, dependingOn(service.id.value))
+        assertEquals(400, dependingOn("not an id"))
         assertEquals(400, submit(other, mapOf("awaits" to "run-000001")).status)
         assertEquals(
             400,
             submit(other, mapOf("awaits" to List(500) { "run-%06d".format(it) })).status,
-            "more than a record holds",
+            "more than fits into a record",
         )
         assertEquals(404 to null, status(other))
-        assertEquals(201, awaiting(first.id.value, first.id.value))
-        assertEquals(200, awaiting("run-555555"), "a known job, whatever it names")
-        // Cancelled with the first, from every controller at once, and so is what comes later.
+        assertEquals(201, dependingOn(first.id.value, first.id.value))
+        assertEquals(200, dependingOn("run-555555"), "accepted before, whatever it depends on")
+        // Cancelled with the first, at every controller at once, and so is what is submitted later.
         assertEquals(200 to "aborted", cancel(first, 2))
         for (i in 0..2) assertEquals(200 to "aborted", status(other, i))
         val late = job(4) { it.copy(dependencies = listOf(other.id)) }
@@ -130,14 +130,14 @@
         assertEquals(
             201 to "aborted",
             accepted.status to (accepted.body as Map<*, *>)["status"],
-            "accepted, and never called queued",
+            "accepted, and never queued",
         )
         for (i in 0..2) assertEquals(200 to "aborted", status(late, i))
         assertEquals(200 to "aborted", cancel(late))
         cluster.run(20.seconds)
-        for (i in 0..2) assertEquals(200 to "aborted", status(other, i), "and stays so once its end is written")
+        for (i in 0..2) assertEquals(200 to "aborted", status(other, i), "and stays so once its outcome is written")
         assertEquals("aborted", (cluster.store.get("end/${late.id.value}")?.data as Map<*, *>)["status"])
-        // What is done is no hindrance, and a cancellation that is answered with done ends nothing.
+        // A dependency that is done does not matter, and a cancellation after that changes nothing.
         val done = job(5)
         submit(done)
         cluster.run(60.seconds)
@@ -149,40 +149,43 @@
     }
 
     @Test
-    fun `while the key-value store is away nothing is decided`() {
+    fun `during an outage of the key-value store every request gets 503 with a time to retry`() {
         val first = job(1)
         submit(first)
         cluster.store.out = true
         cluster.run(2.seconds)
         for (
-        answer in listOf(
+        response in listOf(
             submit(job(2), mapOf("awaits" to listOf(first.id.value))),
             submit(job(3)),
             cluster.ask(0, "GET", "/api/jobs/run-000009", null),
         )
         ) {
-            assertEquals(503, answer.status)
-            assertEquals(true, answer.retryAfterSeconds != null)
+            assertEquals(503, response.status)
+            assertTrue(response.retryAfterSeconds != null)
         }
     }
 
     @Test
-    fun `what a controller read before it stood still is not told afterwards`() {
+    fun `a status read before the controller paused is not returned afterwards`() {
         var asked = 0
         for (readUnderWay in 0..24) {
             val spec = job(40 + readUnderWay) { it.copy(expectedSeconds = 300.0) }
             assertEquals(201, submit(spec).status)
             cluster.run(1.seconds)
-            val question = cluster.send(0, "GET", "/api/jobs/${spec.id.value}")
+            val pending = cluster.send(0, "GET", "/api/jobs/${spec.id.value}")
             cluster.run(readUnderWay.milliseconds)
-            if (question.isCompleted) continue
+            if (pending.isCompleted) continue
             asked++
             cluster.freeze(0, 30.seconds)
             assertEquals(200 to "aborted", cancel(spec, at = 1))
             cluster.run(40.seconds)
-            val answer = question.getCompleted()
-            assertTrue(answer.status == 503 || statusOf(answer) == 200 to "aborted", "${answer.status} ${answer.body}")
+            val response = pending.getCompleted()
+            assertTrue(
+                response.status == 503 || statusOf(response) == 200 to "aborted",
+                "${response.status} ${response.body}",
+            )
         }
-        assertTrue(asked > 3, "only $asked questions were under way")
+        assertTrue(asked > 3, "only $asked requests were under way")
     }
 }
--- a/src/test/kotlin/umberslip/compatibility/FormatCompatibilityTest.kt
+++ b/src/test/kotlin/umberslip/compatibility/FormatCompatibilityTest.kt
@@ -61,7 +61,7 @@
             deadlineSeconds = 900.0,
         )
     private val plainArray = gang.copy(id = JobId("run-000413"), shape = Shape.ARRAY)
-    private val awaitingArray = plainArray.copy(dependencies = listOf(JobId("run-000398"), JobId("run-000405")))
+    private val dependentArray = plainArray.copy(dependencies = listOf(JobId("run-000398"), JobId("run-000405")))
 
     private val block =
         ProgressRecord(
@@ -95,7 +95,7 @@
             "frame-pong-refused" to PeerFrame.Pong("solm-1", false),
         )
 
-    /** A record that both versions know: its value, how it is decoded and how it is encoded. */
+    /** A record that both versions have: its value, how it is decoded and how it is encoded. */
     private class Sample<T>(
         val value: T,
         val decode: (Any?) -> T,
@@ -110,7 +110,8 @@
             "log" to Sample(logEntry, LogRecord::parse, LogRecord::toMap),
             "owner" to Sample(LeaderRecord("solm-1", Term(4), StoreLease(9)), LeaderRecord::parse, LeaderRecord::toMap),
             "end-done" to Sample(OutcomeRecord(JobOutcome.DONE, 16), OutcomeRecord::parse, OutcomeRecord::toMap),
-            "end-cancelled" to Sample(OutcomeRecord(JobOutcome.CANCELLED, 16), OutcomeRecord::parse, OutcomeRecord::toMap),
+            "end-cancelled" to
+                Sample(OutcomeRecord(JobOutcome.CANCELLED, 16), OutcomeRecord::parse, OutcomeRecord::toMap),
             "hosts" to
                 Sample(
                     MachineSetRecord(linkedSetOf(MachineName("host-000231"), MachineName("host-000232"))),
@@ -163,13 +164,13 @@
     }
 
     @Test
-    fun `a job that awaits others is stored as the first version with awaits stored it`() {
-        val sample = Sample(JobRecord(awaitingArray, submitted, false), JobRecord::parse, JobRecord::toMap)
+    fun `a job with dependencies is stored as the first version with dependencies stored it`() {
+        val sample = Sample(JobRecord(dependentArray, submitted, false), JobRecord::parse, JobRecord::toMap)
         check("job-awaiting", sample, fixtures("6fbfec1").getValue("job-awaiting"))
     }
 
     @Test
-    fun `the version in production takes a job that awaits others for one that does not`() {
+    fun `the version in production ignores the dependencies of a job`() {
         val written = fixtures("823f3f9")
         val plain = Sample(JobRecord(plainArray, submitted, false), JobRecord::parse, JobRecord::toMap)
         check("job-awaiting", plain, written.getValue("job-awaiting"))
--- a/src/test/kotlin/umberslip/http/DocumentsTest.kt
+++ b/src/test/kotlin/umberslip/http/DocumentsTest.kt
@@ -35,7 +35,7 @@
         }
 
     @Test
-    fun `arbitrary bytes are read or called malformed, and nothing else`() =
+    fun `arbitrary bytes are read or malformed, and nothing else`() =
         runBlocking<Unit> {
             var malformed = 0
             checkAll(fixed, Arb.byteArray(Arb.int(0..60), Arb.byte())) {
@@ -49,7 +49,7 @@
         }
 
     @Test
-    fun `a cut document is malformed`() =
+    fun `a truncated document is malformed`() =
         runBlocking<Unit> {
             checkAll(fixed, document.map { Documents.writeCbor(it) }) { bytes ->
                 assertThrows(MalformedMessageException::class.java) { Documents.readCbor(bytes.copyOf(bytes.size - 1)) }
@@ -57,14 +57,16 @@
         }
 
     @Test
-    fun `complaints name the field`() {
-        val f = Fields.of(mapOf("a" to mapOf("b" to "text", "n" to 1.5, "huge" to Double.NaN)))
-        assertEquals("a.c is missing", assertThrows(MalformedMessageException::class.java) { f.map("a").text("c") }.message)
-        assertEquals("a.b is not a number", assertThrows(MalformedMessageException::class.java) { f.map("a").number("b") }.message)
-        assertEquals("a.n is not a whole number", assertThrows(MalformedMessageException::class.java) { f.map("a").long("n") }.message)
-        assertEquals(
-            "a.huge is not a finite number",
-            assertThrows(MalformedMessageException::class.java) { f.map("a").number("huge") }.message,
-        )
+    fun `the exception names the field`() {
+        val fields = Fields.of(mapOf("a" to mapOf("b" to "text", "n" to 1.5, "huge" to Double.NaN))).map("a")
+
+        fun message(read: (Fields) -> Unit): String? {
+            val failure = assertThrows(MalformedMessageException::class.java) { read(fields) }
+            return failure.message
+        }
+        assertEquals("a.c is missing", message { it.text("c") })
+        assertEquals("a.b is not a number", message { it.number("b") })
+        assertEquals("a.n is not a whole number", message { it.long("n") })
+        assertEquals("a.huge is not a finite number", message { it.number("huge") })
     }
 }
--- a/src/test/kotlin/umberslip/http/HttpTest.kt
+++ b/src/test/kotlin/umberslip/http/HttpTest.kt
@@ -43,21 +43,21 @@
     ): Reply = runBlocking { client.call(HttpMethod.POST, path, body, 20.seconds) }
 
     @Test
-    fun `bodies go both ways and connections are used again`() {
+    fun `bodies are sent both ways, and connections are reused`() {
         repeat(3) { assertEquals("hello $it", call("/echo", mapOf("say" to "hello $it")).fields().text("got")) }
     }
 
     @Test
-    fun `what could not be sent in time is never sent`() {
-        // Of a process that stood still for a minute between the decision to send and the connection.
-        val standstill =
+    fun `a request that could not be sent within its timeout is never sent`() {
+        // Of a process that paused for a minute between the decision to send and the connection.
+        val pause =
             object : TimeSource {
                 override fun markNow() =
                     object : TimeMark {
                         override fun elapsedNow() = 60.seconds
                     }
             }
-        val late = HttpClient(group, server.localAddress() as InetSocketAddress, 1 shl 20, standstill)
+        val late = HttpClient(group, server.localAddress() as InetSocketAddress, 1 shl 20, pause)
         val before = served.get()
         assertThrows<ServiceUnavailableException> {
             runBlocking { late.call(HttpMethod.POST, "/echo", mapOf("say" to "late"), 20.seconds) }
@@ -67,7 +67,7 @@
     }
 
     @Test
-    fun `bad input is answered, and the next request is served`() {
+    fun `a malformed request gets a response, and the next one is served`() {
         assertEquals(400, call("/echo", listOf(1L)).status)
         assertEquals(400, call("/echo", mapOf("other" to 1L)).status)
         assertEquals(400, call("/echo", mapOf("say" to "x".repeat(70_000))).status)
@@ -77,7 +77,7 @@
     }
 
     @Test
-    fun `a full server closes who was idle longest and serves who comes`() {
+    fun `a full server closes the connection that was idle longest for a new one`() {
         val idle =
             List(10) {
                 Socket().apply {
@@ -86,26 +86,26 @@
                 }
             }
         try {
-            // The last of them is known to have been taken in once it is answered.
+            // The last of them is known to be accepted once it gets a response.
             idle.last().getOutputStream().write("GET /nowhere HTTP/1.1\r\nHost: x\r\n\r\n".toByteArray())
             assertTrue(idle.last().getInputStream().read() > 0)
-            assertEquals("room", call("/echo", mapOf("say" to "room")).fields().text("got"))
-            assertEquals(-1, idle.first().getInputStream().read(), "its place was needed")
+            assertEquals("served", call("/echo", mapOf("say" to "served")).fields().text("got"))
+            assertEquals(-1, idle.first().getInputStream().read(), "the longest idle connection is closed")
         } finally {
             idle.forEach { it.close() }
         }
     }
 
     @Test
-    fun `who is sent elsewhere is answered at once, and the connection ends`() {
+    fun `a sender that is sent elsewhere gets a response at once, and its connection is closed`() {
         Socket().use { socket ->
             socket.connect(server.localAddress())
             socket.soTimeout = 20_000
             socket.getOutputStream().write("GET /elsewhere HTTP/1.1\r\nHost: x\r\n\r\n".toByteArray())
-            val answer = String(socket.getInputStream().readAllBytes(), Charsets.ISO_8859_1).lowercase()
+            val response = String(socket.getInputStream().readAllBytes(), Charsets.ISO_8859_1).lowercase()
             assertTrue(
-                "503" in answer.lines().first() && "retry-after: 3" in answer && "connection: close" in answer,
-                answer,
+                "503" in response.lines().first() && "retry-after: 3" in response && "connection: close" in response,
+                response,
             )
         }
         assertEquals("still", call("/echo", mapOf("say" to "still")).fields().text("got"))
--- a/src/test/kotlin/umberslip/records/JobSpecCodecTest.kt
+++ b/src/test/kotlin/umberslip/records/JobSpecCodecTest.kt
@@ -17,7 +17,7 @@
         // those alone.
         val good = Fixtures.job(Random(1), 1).toMap()
 
-        fun parse(map: Map<String, Any?>) = JobSpecCodec.parse(Fields.of(RecordFixtures.wire(map)))
+        fun parse(map: Map<String, Any?>) = JobSpecCodec.parse(Fields.of(readBack(map)))
         parse(good)
         for (
         (field, bad) in listOf(
--- a/src/test/kotlin/umberslip/records/KeysTest.kt
+++ b/src/test/kotlin/umberslip/records/KeysTest.kt
@@ -15,7 +15,7 @@
     @Test
     fun `job ids need no escaping in keys`() =
         runBlocking<Unit> {
-            checkAll(RecordFixtures.config, Arb.string(0, 20)) { text ->
+            checkAll(propertyTests, Arb.string(0, 20)) { text ->
                 val id = JobId.parse(text)
                 if (id != null) {
                     assertEquals(id, Keys.asJob(Keys.job(id)))
--- a/src/test/kotlin/umberslip/records/RecordFixtures.kt
+++ b/src/test/kotlin/umberslip/records/RecordFixtures.kt
@@ -5,22 +5,19 @@
 import umberslip.http.Documents
 import kotlin.random.Random
 
-/** What the tests of records share. */
-internal object RecordFixtures {
-    val config = PropTestConfig(seed = 99, iterations = 200)
+internal val propertyTests = PropTestConfig(seed = 99, iterations = 200)
 
-    /** A record as it comes back from the key-value store. */
-    fun wire(record: Map<String, Any?>): Any? = Documents.readCbor(Documents.writeCbor(record))
+/** A record as it comes back from the key-value store. */
+internal fun readBack(record: Map<String, Any?>): Any? = Documents.readCbor(Documents.writeCbor(record))
 
-    fun placements(
-        random: Random,
-        from: Int,
-        count: Int,
-    ) = List(count) {
-        Placement(
-            from + it,
-            random.nextLong(1, 1L shl 40),
-            MachineName("host-%06d".format(random.nextInt(1_000_000))),
-        )
-    }
+internal fun placements(
+    random: Random,
+    from: Int,
+    count: Int,
+) = List(count) {
+    Placement(
+        from + it,
+        random.nextLong(1, 1L shl 40),
+        MachineName("host-%06d".format(random.nextInt(1_000_000))),
+    )
 }
--- a/src/test/kotlin/umberslip/records/RecordFormatTest.kt
+++ b/src/test/kotlin/umberslip/records/RecordFormatTest.kt
@@ -60,11 +60,11 @@
     @Test
     fun `jobs and their specifications are read back as written`() =
         runBlocking<Unit> {
-            checkAll(RecordFixtures.config, Arb.long()) { seed ->
+            checkAll(propertyTests, Arb.long()) { seed ->
                 val spec = Fixtures.job(Random(seed), 7)
-                assertEquals(spec, JobSpecCodec.parse(Fields.of(RecordFixtures.wire(spec.toMap()))))
+                assertEquals(spec, JobSpecCodec.parse(Fields.of(readBack(spec.toMap()))))
                 val job = JobRecord(spec, Instant.ofEpochMilli(seed and 0xffffff), seed % 2 == 0L)
-                assertEquals(job, JobRecord.parse(RecordFixtures.wire(job.toMap())))
+                assertEquals(job, JobRecord.parse(readBack(job.toMap())))
             }
         }
 
@@ -105,22 +105,23 @@
             )
         for ((kind, fields) in productionFields) assertEquals(fields, written.getValue(kind).keys, kind)
         val old = mapOf("seq" to 77L, "done" to "0102", "placed" to listOf(listOf(3L, 2L, "h-1")), "last" to 2L)
-        assertEquals(block, ProgressRecord.parse(RecordFixtures.wire(old)))
-        assertEquals(RecordFixtures.wire(old), RecordFixtures.wire(block.toMap()))
+        assertEquals(block, ProgressRecord.parse(readBack(old)))
+        assertEquals(readBack(old), readBack(block.toMap()))
         val oldLog =
             mapOf(
                 "seq" to 78L,
                 "rows" to listOf(listOf(spec.id.value, listOf(4L, 3L, "h-2"), listOf(3L, 2L), listOf(5L, 1L))),
             )
-        assertEquals(log, LogRecord.parse(RecordFixtures.wire(oldLog)))
-        assertEquals(RecordFixtures.wire(oldLog), RecordFixtures.wire(log.toMap()))
-        assertEquals(OutcomeRecord(JobOutcome.CANCELLED, 3), OutcomeRecord.parse(mapOf("status" to "aborted", "pieces" to 3L)))
-        assertEquals(emptyList<JobId>(), JobSpecCodec.parse(Fields.of(RecordFixtures.wire(spec.toMap()))).dependencies)
+        assertEquals(log, LogRecord.parse(readBack(oldLog)))
+        assertEquals(readBack(oldLog), readBack(log.toMap()))
+        val oldOutcome = mapOf("status" to "aborted", "pieces" to 3L)
+        assertEquals(OutcomeRecord(JobOutcome.CANCELLED, 3), OutcomeRecord.parse(oldOutcome))
+        assertEquals(emptyList<JobId>(), JobSpecCodec.parse(Fields.of(readBack(spec.toMap()))).dependencies)
         // A job with dependencies has one field more, which the version in production ignores.
         val dependent = spec.copy(dependencies = listOf(JobId("run-1"), JobId("run-2")))
         assertEquals(setOf("awaits"), dependent.toMap().keys - productionFields.getValue("spec"))
-        assertEquals(dependent, JobSpecCodec.parse(Fields.of(RecordFixtures.wire(dependent.toMap()))))
-        assertEquals(spec, JobSpecCodec.parse(Fields.of(RecordFixtures.wire(dependent.toMap() - "awaits"))))
+        assertEquals(dependent, JobSpecCodec.parse(Fields.of(readBack(dependent.toMap()))))
+        assertEquals(spec, JobSpecCodec.parse(Fields.of(readBack(dependent.toMap() - "awaits"))))
     }
 
     @Test
@@ -128,18 +129,18 @@
         runBlocking<Unit> {
             for (bytes in listOf(2048, 8192, 32768)) {
                 val tasks = ProgressRecord.tasksPerBlock(bytes)
-                checkAll(RecordFixtures.config.copy(iterations = 30), Arb.long()) { seed ->
+                checkAll(propertyTests.copy(iterations = 30), Arb.long()) { seed ->
                     val random = Random(seed)
                     val done = BitSet().apply { repeat(tasks) { if (random.nextBoolean()) set(it) } }
                     val firstIndex = 90_000
                     val record =
                         ProgressRecord(
                             done,
-                            RecordFixtures.placements(random, firstIndex, tasks).filter { !done.get(it.index - firstIndex) },
+                            placements(random, firstIndex, tasks).filter { !done.get(it.index - firstIndex) },
                             1L shl 40,
                             5L shl 32,
                         )
-                    assertEquals(record, ProgressRecord.parse(RecordFixtures.wire(record.toMap())))
+                    assertEquals(record, ProgressRecord.parse(readBack(record.toMap())))
                     assertTrue(Documents.jsonSize(record.toMap()) <= bytes)
                     assertTrue(Documents.jsonSize(record.toMap()) <= record.bytes, "its size is never underestimated")
                 }
@@ -149,7 +150,7 @@
     @Test
     fun `log entries are read back, and their size is never underestimated`() =
         runBlocking<Unit> {
-            checkAll(RecordFixtures.config, Arb.long(), Arb.int(1..6)) { seed, jobs ->
+            checkAll(propertyTests, Arb.long(), Arb.int(1..6)) { seed, jobs ->
                 val random = Random(seed)
 
                 // The done ones come first, as they are stored.
@@ -161,10 +162,10 @@
                     LogRecord(
                         seed,
                         (1..jobs).associate {
-                            JobId("run-%06d".format(it)) to LogRow(RecordFixtures.placements(random, 0, random.nextInt(1, 20)), ends())
+                            JobId("run-%06d".format(it)) to LogRow(placements(random, 0, random.nextInt(1, 20)), ends())
                         },
                     )
-                assertEquals(record, LogRecord.parse(RecordFixtures.wire(record.toMap())))
+                assertEquals(record, LogRecord.parse(readBack(record.toMap())))
                 val estimate =
                     LogRecord.FIXED_BYTES +
                         record.rows.entries.sumOf { (job, row) ->
@@ -204,16 +205,17 @@
             )
         val record = BootingMachinesRecord(listOf(booting))
         assertEquals(Documents.writeCbor(stored).toList(), Documents.writeCbor(record.toMap()).toList())
-        assertEquals(record.machines, BootingMachinesRecord.parse(RecordFixtures.wire(stored)).toList())
+        assertEquals(record.machines, BootingMachinesRecord.parse(readBack(stored)).toList())
     }
 
     @Test
     fun `booting machines before a malformed one are read, and it is named`() {
         val machines = BootingMachinesRecord(listOf(booting)).toMap().getValue("booting") as List<*>
+        val malformed = readBack(mapOf("booting" to machines + mapOf("host" to "h")))
         val read = ArrayList<RecordedBootingMachine>()
         val failure =
             assertThrows(MalformedMessageException::class.java) {
-                BootingMachinesRecord.parse(RecordFixtures.wire(mapOf("booting" to machines + mapOf("host" to "h")))).forEach(read::add)
+                BootingMachinesRecord.parse(malformed).forEach(read::add)
             }
         assertEquals(listOf(booting), read)
         assertEquals("u/fleet.booting[1].since_ms is missing", failure.message)
--- a/src/test/kotlin/umberslip/records/RecordReplicaTest.kt
+++ b/src/test/kotlin/umberslip/records/RecordReplicaTest.kt
@@ -17,11 +17,18 @@
 import kotlin.random.Random
 
 class RecordReplicaTest {
+    private fun put(
+        replica: RecordReplica,
+        key: String,
+        record: Map<String, Any?>,
+        version: Long,
+    ) = replica.apply(Change.Put(key, readBack(record), Version(version)))
+
     @Test
     fun `the replica shows the newest versions whatever changes are repeated`() =
         runBlocking<Unit> {
             val specs = List(4) { Fixtures.job(Random(it), it) }
-            checkAll(RecordFixtures.config, Arb.long()) { seed ->
+            checkAll(propertyTests, Arb.long()) { seed ->
                 val random = Random(seed)
                 val last = HashMap<String, Change>()
                 val all = ArrayList<Change>()
@@ -34,7 +41,7 @@
                         } else {
                             Change.Put(
                                 key,
-                                RecordFixtures.wire(JobRecord(spec, Instant.EPOCH, random.nextBoolean()).toMap()),
+                                readBack(JobRecord(spec, Instant.EPOCH, random.nextBoolean()).toMap()),
                                 Version(version),
                             )
                         }
@@ -80,20 +87,21 @@
     fun `progress counts a task once however many log entries repeat its start`() {
         val spec = Fixtures.job(Random(3), 3).copy(tasks = 5)
         val replica = RecordReplica()
-        replica.apply(Change.Put(Keys.job(spec.id), RecordFixtures.wire(JobRecord(spec, Instant.EPOCH, false).toMap()), Version(1)))
+        put(replica, Keys.job(spec.id), JobRecord(spec, Instant.EPOCH, false).toMap(), 1)
 
         fun log(
             slot: Int,
             seq: Long,
             row: LogRow,
-        ) = replica.apply(Change.Put(Keys.log(slot), RecordFixtures.wire(LogRecord(seq, mapOf(spec.id to row)).toMap()), Version(seq)))
+        ) = put(replica, Keys.log(slot), LogRecord(seq, mapOf(spec.id to row)).toMap(), seq)
         val first = Placement(0, 1, MachineName("a"))
         val second = Placement(1, 2, MachineName("a"))
         log(7, 10, LogRow(listOf(first, second), emptyList()))
         assertEquals(Progress(0, 2), replica.progress(spec.id))
         log(3, 11, LogRow(listOf(first), listOf(LoggedExit(1, 2, true))))
         assertEquals(Progress(1, 1), replica.progress(spec.id))
-        log(4, 12, LogRow(listOf(Placement(2, 3, MachineName("b"))), listOf(LoggedExit(1, 0, true), LoggedExit(0, 1, false))))
+        val third = Placement(2, 3, MachineName("b"))
+        log(4, 12, LogRow(listOf(third), listOf(LoggedExit(1, 0, true), LoggedExit(0, 1, false))))
         assertEquals(Progress(1, 1), replica.progress(spec.id))
     }
 
@@ -101,9 +109,9 @@
     fun `a malformed record is left alone and its neighbours are read`() {
         val spec = Fixtures.job(Random(3), 3)
         val replica = RecordReplica()
-        replica.apply(Change.Put("u/job/run-000001", mapOf("spec" to 5L), Version(1)))
-        replica.apply(Change.Put(Keys.job(spec.id), RecordFixtures.wire(JobRecord(spec, Instant.EPOCH, false).toMap()), Version(2)))
-        replica.apply(Change.Put(Keys.LEADER, RecordFixtures.wire(LeaderRecord("c-1", Term(4), StoreLease(9)).toMap()), Version(3)))
+        put(replica, "u/job/run-000001", mapOf("spec" to 5L), 1)
+        put(replica, Keys.job(spec.id), JobRecord(spec, Instant.EPOCH, false).toMap(), 2)
+        put(replica, Keys.LEADER, LeaderRecord("c-1", Term(4), StoreLease(9)).toMap(), 3)
         assertEquals(setOf(spec.id), replica.jobs().keys)
         assertEquals(LeaderRecord("c-1", Term(4), StoreLease(9)), replica.leader?.value)
     }
--- a/src/test/kotlin/umberslip/settings/SettingsTest.kt
+++ b/src/test/kotlin/umberslip/settings/SettingsTest.kt
@@ -14,13 +14,13 @@
     private val json = Fixtures.settingsJson("c-0")
 
     @Test
-    fun `reads the platform's file, ignoring what it does not know`() {
-        val s = Settings.parse(json)
-        assertEquals(listOf("blue", "green"), s.teams.map { it.name })
-        assertEquals(24.0, s.teams[0].cpusMax)
-        assertNull(s.teams[1].cpusMax, "0 means none")
-        assertEquals(2048, s.storeLimits.valueBytes)
-        assertEquals(2, s.objectives.size)
+    fun `the platform's settings are read, and unknown ones are ignored`() {
+        val settings = Settings.parse(json)
+        assertEquals(listOf("blue", "green"), settings.teams.map { it.name })
+        assertEquals(24.0, settings.teams[0].cpusMax)
+        assertNull(settings.teams[1].cpusMax, "0 means no limit")
+        assertEquals(2048, settings.storeLimits.valueBytes)
+        assertEquals(2, settings.objectives.size)
     }
 
     @ParameterizedTest
@@ -34,21 +34,22 @@
         "'\"name\":\"green\"', '\"name\":\"blue\"', settings.teams",
         "'\"sockets\":200', '\"sockets\":-1', settings.quota.sockets",
     )
-    fun `names what is missing or senseless`(
+    fun `a missing or invalid setting is named`(
         from: String,
         to: String,
         field: String,
     ) {
         assertTrue(from in json)
-        val e = assertThrows(InvalidSettingsException::class.java) { Settings.parse(json.replaceFirst(from, to)) }
-        assertTrue(field in e.message.orEmpty(), e.message)
+        val invalid = json.replaceFirst(from, to)
+        val failure = assertThrows(InvalidSettingsException::class.java) { Settings.parse(invalid) }
+        assertTrue(field in failure.message.orEmpty(), failure.message)
     }
 
     @Test
-    fun `operators' settings are checked too`() {
+    fun `operators' settings are validated`() {
         assertEquals(3.seconds, Tuning.parse("[ownership]\nhold_s = 3.0").leaderLeaseDuration)
         for (
-        bad in listOf(
+        invalid in listOf(
             "[ownership]\nholds = 3",
             "[other]\na = 1",
             "ownership = 1",
@@ -59,28 +60,29 @@
             "[recovery]\nadopt = true",
         )
         ) {
-            assertThrows(InvalidSettingsException::class.java, { Tuning.parse(bad) }, bad)
+            assertThrows(InvalidSettingsException::class.java, { Tuning.parse(invalid) }, invalid)
         }
     }
 
     @Test
-    fun `a hold that leaves no time for a cancellation is refused`() {
+    fun `a leader lease that leaves no time for a cancellation is rejected`() {
         val workers = Settings.parse(json).workers
         assertEquals(workers.cancel, Timings(workers, Tuning()).run { leaderLeaseDuration + grace + lease + margin })
-        assertThrows(InvalidSettingsException::class.java) { Timings(workers, Tuning(leaderLeaseDuration = 25.seconds)) }
+        val tooLong = Tuning(leaderLeaseDuration = 25.seconds)
+        assertThrows(InvalidSettingsException::class.java) { Timings(workers, tooLong) }
     }
 
     @Test
-    fun `aims for starts are read, and aims of unknown kinds are passed over`() {
+    fun `objectives for starts are read, and those of unknown kinds are ignored`() {
         val json =
             Fixtures.settingsJson("c-0").replace(
                 """"objectives":[""",
                 """"objectives":[{"kind":"wait","class":"batch","within_s":250.0,"share":0.88},""" +
                     """{"kind":"later","x":1},""",
             )
-        val s = Settings.parse(json)
-        assertEquals(Objective.Started("batch", 250.seconds), s.objectives.first())
-        assertEquals(3, s.objectives.size)
+        val objectives = Settings.parse(json).objectives
+        assertEquals(Objective.Started("batch", 250.seconds), objectives.first())
+        assertEquals(3, objectives.size)
         assertThrows(InvalidSettingsException::class.java) { Settings.parse(json.replace("250.0", "0.0")) }
     }
 }
--- a/src/test/kotlin/umberslip/store/RateLimiterTest.kt
+++ b/src/test/kotlin/umberslip/store/RateLimiterTest.kt
@@ -15,26 +15,26 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** Requests to the key-value store keep to its rate, and questions never delay what matters more. */
+/** Requests to the key-value store keep to its rate, and look-ups for users never delay the others. */
 @OptIn(ExperimentalCoroutinesApi::class)
 class RateLimiterTest {
     private fun TestScope.rateLimiter(rate: Double) = RateLimiter(rate, Clock { currentTime.milliseconds })
 
     @Test
-    fun `a flood of questions delays no other request`() =
+    fun `a flood of look-ups delays no other request`() =
         runTest {
             val rateLimiter = rateLimiter(40.0)
-            val questions = List(400) { async { rateLimiter.takeSpare(1, 500.milliseconds) } }
+            val lookUps = List(400) { async { rateLimiter.takeSpare(1, 500.milliseconds) } }
             testScheduler.runCurrent()
             repeat(10) { rateLimiter.take(1, urgent = false) }
-            assertEquals(0L, currentTime, "reads wait for no question")
-            val served = questions.awaitAll().count { it }
-            assertTrue(served in 28..50, "$served questions were served")
-            assertTrue(currentTime <= 500, "the others were refused in time, not kept waiting: $currentTime ms")
+            assertEquals(0L, currentTime, "reads wait for no look-up")
+            val served = lookUps.awaitAll().count { it }
+            assertTrue(served in 28..50, "$served look-ups were served")
+            assertTrue(currentTime <= 500, "the others were refused within their patience: $currentTime ms")
         }
 
     @Test
-    fun `questions have their share while others use up the rate`() =
+    fun `look-ups have their guaranteed share while others use up the rate`() =
         runTest {
             val rateLimiter = rateLimiter(20.0)
             val others =
@@ -48,11 +48,11 @@
                 if (rateLimiter.takeSpare(1, 500.milliseconds)) served++ else delay(50.milliseconds)
             }
             others.cancel()
-            assertTrue(served in 16..24, "$served questions in 4 s")
+            assertTrue(served in 16..24, "$served look-ups in 4 s")
         }
 
     @Test
-    fun `questions are served again as the rate allows`() =
+    fun `look-ups are served again as the rate allows`() =
         runTest {
             val rateLimiter = rateLimiter(40.0)
             while (rateLimiter.takeSpare(1, 0.milliseconds)) Unit
