--- a/src/main/kotlin/umberslip/agents/FollowerLeaseRenewal.kt
+++ b/src/main/kotlin/umberslip/agents/FollowerLeaseRenewal.kt
@@ -39,7 +39,11 @@
      * Takes the machines whose leases were renewed since they were last taken: as many as one stored value of
      * [valueBytes] holds. The rest is had with the next call.
      */
-    fun takeRenewed(valueBytes: Int): Set<MachineName> = MachineSetRecord.fitting(renewed, valueBytes).also { renewed -= it }
+    fun takeRenewed(valueBytes: Int): Set<MachineName> {
+        val fitting = MachineSetRecord.fitting(renewed, valueBytes)
+        renewed -= fitting
+        return fitting
+    }
 
     companion object {
         /** Machines whose newest heartbeat is remembered for each connection; then the first is forgotten. */
--- a/src/main/kotlin/umberslip/agents/Heartbeat.kt
+++ b/src/main/kotlin/umberslip/agents/Heartbeat.kt
@@ -57,16 +57,22 @@
 
 /**
  * Orders the heartbeats of one machine: the larger is the newer. [session] is the agent epoch, which rises each time
- * the worker's lease expires and it starts over without tasks; [sequenceNumber] counts within it.
+ * the worker's lease expires and it begins anew without tasks; [sequenceNumber] counts within it.
  */
 data class HeartbeatVersion(
     val session: Long,
     val sequenceNumber: Long,
 ) : Comparable<HeartbeatVersion> {
-    override fun compareTo(other: HeartbeatVersion): Int = compareValuesBy(this, other, HeartbeatVersion::session, HeartbeatVersion::sequenceNumber)
+    override fun compareTo(other: HeartbeatVersion): Int {
+        if (session != other.session) return session.compareTo(other.session)
+        return sequenceNumber.compareTo(other.sequenceNumber)
+    }
 
     /** Whether the worker sent nothing in between. */
-    fun follows(other: HeartbeatVersion): Boolean = session == other.session && sequenceNumber == other.sequenceNumber + 1
+    fun follows(other: HeartbeatVersion): Boolean {
+        if (session != other.session) return false
+        return sequenceNumber == other.sequenceNumber + 1
+    }
 }
 
 /**
--- a/src/main/kotlin/umberslip/agents/HeartbeatCodec.kt
+++ b/src/main/kotlin/umberslip/agents/HeartbeatCodec.kt
@@ -85,7 +85,10 @@
         )
     }
 
-    private fun taskId(text: String): TaskId = TaskId.parse(text) ?: throw MalformedMessageException("${WorkerProtocol.TASK} is not a task id")
+    private fun taskId(text: String): TaskId {
+        val task = TaskId.parse(text)
+        return task ?: throw MalformedMessageException("${WorkerProtocol.TASK} is not a task id")
+    }
 
     private fun taskState(name: String): TaskState =
         WorkerProtocol.taskState(name)
--- a/src/main/kotlin/umberslip/cloud/CloudProtocol.kt
+++ b/src/main/kotlin/umberslip/cloud/CloudProtocol.kt
@@ -47,5 +47,8 @@
         }
 
     /** The path of the page of the list that follows [after]; an empty name for the first one. */
-    fun pagePath(after: String): String = if (after.isEmpty()) "$MACHINES_PATH?page=$PAGE_SIZE" else "$MACHINES_PATH?after=$after&page=$PAGE_SIZE"
+    fun pagePath(after: String): String {
+        if (after.isEmpty()) return "$MACHINES_PATH?page=$PAGE_SIZE"
+        return "$MACHINES_PATH?after=$after&page=$PAGE_SIZE"
+    }
 }
--- a/src/main/kotlin/umberslip/cloud/HttpCloud.kt
+++ b/src/main/kotlin/umberslip/cloud/HttpCloud.kt
@@ -11,7 +11,7 @@
 import umberslip.store.RateLimiter
 import kotlin.time.Duration.Companion.seconds
 
-/** The cloud over HTTP. Requests wait for [requests], so that the cloud's limit of rate is kept. */
+/** The cloud over HTTP. Requests wait for [requests], so that the cloud's rate limit is respected. */
 class HttpCloud(
     private val http: HttpClient,
     private val requests: RateLimiter,
@@ -53,7 +53,10 @@
         return (requireOk(reply).fields().textsOrNull(CloudProtocol.MACHINES) ?: emptyList()).map(::MachineName)
     }
 
-    private fun isNoCapacity(reply: Reply): Boolean = reply.status == 503 && reply.fields().textOrNull(CloudProtocol.ERROR) == CloudProtocol.NO_CAPACITY
+    private fun isNoCapacity(reply: Reply): Boolean {
+        if (reply.status != 503) return false
+        return reply.fields().textOrNull(CloudProtocol.ERROR) == CloudProtocol.NO_CAPACITY
+    }
 
     override suspend fun terminate(machineNames: List<MachineName>) {
         val body = mapOf(CloudProtocol.MACHINES to machineNames.map { it.value })
--- a/src/main/kotlin/umberslip/peers/Peers.kt
+++ b/src/main/kotlin/umberslip/peers/Peers.kt
@@ -137,7 +137,10 @@
     }
 
     /** Whether nothing has come back for so long that a new connection is to replace the present one. */
-    private fun isUnresponsive(member: String): Boolean = !reaches(member) && contacts[member]?.let { clock.now() - it.at > RECONNECT_AFTER } == true
+    private fun isUnresponsive(member: String): Boolean {
+        val contact = contacts[member] ?: return false
+        return clock.now() - contact.at > RECONNECT_AFTER
+    }
 
     private fun connect(peer: Peer) {
         if (!connecting.add(peer.member)) return
--- a/src/main/kotlin/umberslip/provisioning/BootingMachines.kt
+++ b/src/main/kotlin/umberslip/provisioning/BootingMachines.kt
@@ -38,7 +38,8 @@
     /** A copy, in the order in which the machines were added. */
     fun all(): List<BootingMachine> = machines.values.toList()
 
-    fun cpus(instanceTypes: Map<String, InstanceType>): Double = machines.values.sumOf { instanceTypes[it.offer.type]?.cpus ?: 0.0 }
+    /** All processors of the machines; those of unknown types count for nothing. */
+    fun cpus(types: Map<String, InstanceType>): Double = machines.values.sumOf { types[it.offer.type]?.cpus ?: 0.0 }
 
     operator fun contains(name: MachineName): Boolean = name in machines
 
--- a/src/main/kotlin/umberslip/provisioning/CloudReconciliation.kt
+++ b/src/main/kotlin/umberslip/provisioning/CloudReconciliation.kt
@@ -97,6 +97,8 @@
         leadingFor: Duration,
         now: Duration,
     ) {
+        // A machine that was up before this leader may be out of reach for a while with work on it.
+        if (leadingFor < settings.workers.lease * 2) return
         val zonesInContact =
             snapshot.machines
                 .filter { machine -> machine.sinceContact?.let { it < settings.workers.lease } ?: false }
@@ -105,17 +107,22 @@
             // A zone without contact is partitioned off; its machines come back with it.
             val isPartitioned = machine.isRunning && machine.offer.zone !in zonesInContact
             if (isPartitioned && leadingFor < UnresponsiveMachines.PARTITION_TIMEOUT) continue
-            val bootTime = instanceTypes[machine.offer.type]?.boot ?: continue
-            // A machine that was up before this leader may be out of reach for a while with work on it.
-            if (leadingFor < settings.workers.lease * 2) continue
-            val age = now - machine.since
-            if (age <= maxOf(bootTime * MAX_BOOT_FACTOR, bootTime + MIN_BOOT_ALLOWANCE)) continue
-            log.warn("machine did not boot, terminating it: machine={} age={}", machine.name.value, age)
+            if (!isOverdue(machine, instanceTypes, now)) continue
+            log.warn("machine did not boot, terminating it: machine={} age={}", machine.name.value, now - machine.since)
             booting.remove(machine.name)
             termination.enqueue(machine.name)
         }
     }
 
+    private fun isOverdue(
+        machine: BootingMachine,
+        instanceTypes: Map<String, InstanceType>,
+        now: Duration,
+    ): Boolean {
+        val bootTime = instanceTypes[machine.offer.type]?.boot ?: return false
+        return now - machine.since > maxOf(bootTime * MAX_BOOT_FACTOR, bootTime + MIN_BOOT_ALLOWANCE)
+    }
+
     private companion object {
         val LIST_INTERVAL = 5.seconds
 
--- a/src/main/kotlin/umberslip/provisioning/IdleMachines.kt
+++ b/src/main/kotlin/umberslip/provisioning/IdleMachines.kt
@@ -50,12 +50,13 @@
         now: Duration,
     ): Boolean = idleSince[machine.name]?.let { now - it >= time } ?: false
 
-    private fun maxIdleTime(machine: MachineSnapshot): Duration = if (machine.offer.spot) tuning.idle else tuning.idle / ORDINARY_IDLE_DIVISOR
+    private fun maxIdleTime(machine: MachineSnapshot): Duration {
+        if (machine.offer.spot) return tuning.idle
+        return tuning.idle / ORDINARY_IDLE_DIVISOR
+    }
 
     private companion object {
-        /**
-         * An ordinary machine may be idle for one part in so many of a spot instance's time: it costs that much more.
-         */
+        /** An ordinary machine costs more, so it may be idle for one part in so many of a spot instance's time. */
         const val ORDINARY_IDLE_DIVISOR = 4
     }
 }
--- a/src/main/kotlin/umberslip/provisioning/UnresponsiveMachines.kt
+++ b/src/main/kotlin/umberslip/provisioning/UnresponsiveMachines.kt
@@ -45,7 +45,10 @@
         mostInContact: Boolean,
     ): Boolean = machine.tasks > 0 && mostInContact && (machine.offer.zone.isEmpty() || zone.mostInContact)
 
-    private fun mostInContact(machines: List<MachineSnapshot>): Boolean = machines.count { it.sinceAnyContact < inContactWithin } * 2 > machines.size
+    private fun mostInContact(machines: List<MachineSnapshot>): Boolean {
+        val inContact = machines.count { it.sinceAnyContact < inContactWithin }
+        return inContact * 2 > machines.size
+    }
 
     private inner class Zone(
         machines: List<MachineSnapshot>,
--- a/src/main/kotlin/umberslip/recovery/RecoveryReport.kt
+++ b/src/main/kotlin/umberslip/recovery/RecoveryReport.kt
@@ -46,7 +46,10 @@
     private fun status(): RecoveryStatus {
         // Of several that say they lead, one has not yet noticed its successor: the highest term counts.
         val leader = controllers.filterIsInstance<ControllerAnswer.Leader>().maxByOrNull { it.snapshot.term }
-        if (leader != null && !isSuperseded(leader)) return statusOf(leader.snapshot)
+        if (leader != null && !isSuperseded(leader)) {
+            val isCompleted = leader.snapshot.phase == RecoveryPhase.COMPLETED
+            return if (isCompleted) RecoveryStatus.COMPLETED else RecoveryStatus.RECOVERING
+        }
         return when (records) {
             is RecordsAnswer.Unreadable -> RecoveryStatus.UNKNOWN
             is RecordsAnswer.Read ->
@@ -54,8 +57,6 @@
         }
     }
 
-    private fun statusOf(snapshot: RecoverySnapshot): RecoveryStatus = if (snapshot.phase == RecoveryPhase.COMPLETED) RecoveryStatus.COMPLETED else RecoveryStatus.RECOVERING
-
     private fun isSuperseded(leader: ControllerAnswer.Leader): Boolean =
         when (records) {
             is RecordsAnswer.Read -> records.work.term > leader.snapshot.term
--- a/src/main/kotlin/umberslip/recovery/RecoveryReportText.kt
+++ b/src/main/kotlin/umberslip/recovery/RecoveryReportText.kt
@@ -35,7 +35,8 @@
             "$address: owns under term ${snapshot.term.value}, ${snapshot.phase.jsonName}, " +
                 "took over ${seconds(snapshot.elapsed)} ago",
             "  ${snapshot.recordedTasks} started tasks taken over, ${snapshot.unreconciledTasks} on " +
-                "${snapshot.unreconciledMachines} machines not heard yet, ${snapshot.lostTasks} lost with their machines",
+                "${snapshot.unreconciledMachines} machines not heard yet, " +
+                "${snapshot.lostTasks} lost with their machines",
             "  first adopted after ${seconds(snapshot.firstAdoptionAfter)}, nine tenths accounted for after " +
                 "${seconds(snapshot.mostAccountedForAfter)}, settled after ${seconds(snapshot.completedAfter)}",
         ) + snapshot.findings.map { (finding, tasks) -> "  ${finding.jsonName}: $tasks" }
--- a/src/main/kotlin/umberslip/recovery/archive/ArchiveFile.kt
+++ b/src/main/kotlin/umberslip/recovery/archive/ArchiveFile.kt
@@ -81,9 +81,7 @@
         }
     }
 
-    /**
-     * Reads and checks all of an archive, or throws [ArchiveException]; [IOException] where the file cannot be read.
-     */
+    /** Reads and checks all of an archive. Throws [ArchiveException]; [IOException] where the file cannot be read. */
     fun read(file: Path): RecordArchive {
         val input = Files.newInputStream(file)
         return try {
--- a/src/main/kotlin/umberslip/recovery/archive/RecordComparison.kt
+++ b/src/main/kotlin/umberslip/recovery/archive/RecordComparison.kt
@@ -8,7 +8,7 @@
 import umberslip.recovery.RecordedWork
 
 /**
- * What happened to a task whose start was recorded before. [jsonName] is published and stays when a constant is
+ * What happened to a task whose start was recorded before. [jsonName] is published, and stays when a constant is
  * renamed.
  */
 enum class TaskChange(
--- a/src/test/kotlin/umberslip/provisioning/CapacityPlannerTest.kt
+++ b/src/test/kotlin/umberslip/provisioning/CapacityPlannerTest.kt
@@ -94,8 +94,8 @@
         // Found by the rules test: the most expensive machine was terminated although only it was allowed.
         val small = machine("s", Offer("small", "east", false))
         val large = machine("l", Offer("large", "east", true))
-        val plan =
-            plan(listOf(small, large), listOf(PendingWork(PlacementConstraint(listOf("small"), null, false), Resources(4.0, 0.0, 1.0), 1, 3.0)))
+        val onlySmall = PlacementConstraint(listOf("small"), null, false)
+        val plan = plan(listOf(small, large), listOf(PendingWork(onlySmall, Resources(4.0, 0.0, 1.0), 1, 3.0)))
         assertEquals(setOf(MachineName("l")), plan.surplus)
     }
 
--- a/src/test/kotlin/umberslip/recovery/RecoveryReportTest.kt
+++ b/src/test/kotlin/umberslip/recovery/RecoveryReportTest.kt
@@ -170,12 +170,13 @@
 
     @Test
     fun `the text names what cannot be read and who cannot be reached`() {
+        val adopting = snapshot(Random(1), RecoveryPhase.ADOPTING, 3).copy(completedAfter = null)
         val report =
             RecoveryReport(
                 records("c-0", 3),
                 listOf(
                     ControllerAnswer.Unreachable("b:1", "refused"),
-                    ControllerAnswer.Leader("a:1", snapshot(Random(1), RecoveryPhase.ADOPTING, 3).copy(completedAfter = null)),
+                    ControllerAnswer.Leader("a:1", adopting),
                 ),
             )
         val text = RecoveryReportText.render(report)
