--- a/src/main/kotlin/umberslip/leadership/LeaderElection.kt
+++ b/src/main/kotlin/umberslip/leadership/LeaderElection.kt
@@ -1,4 +1,4 @@
-package umberslip.leaderElection
+package umberslip.leadership
 
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.Job
@@ -7,14 +7,11 @@
 import org.slf4j.LoggerFactory
 import umberslip.core.Clock
 import umberslip.core.Term
-import umberslip.http.NoResponseException
-import umberslip.http.ServiceUnavailableException
 import umberslip.peers.PeerHealth
 import umberslip.records.Keys
 import umberslip.records.LeaderRecord
 import umberslip.records.RecordView
 import umberslip.records.RecordWatcher
-import umberslip.records.TermRecord
 import umberslip.settings.Timings
 import umberslip.store.KeyValueStore
 import umberslip.store.Precondition
@@ -24,132 +21,13 @@
 import umberslip.store.Write
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
-import kotlin.time.Duration.Companion.seconds
 
-/** What this controller is entitled to, and until when; time is an input. */
-class LeaderLease(
-    private val timings: Timings,
-) {
-    var term: Term? = null
-        private set
-    var version: Version? = null
-        private set
-    var lease: StoreLease? = null
-        private set
-    private var renewed: Duration = Duration.ZERO
-    private var read: Duration = Duration.ZERO
-    private var gone = false
-
-    val isLeader: Boolean get() = term != null
-
-    /** Set when a heartbeat or a refused write shows that somebody else leads. */
-    val isLost: Boolean get() = gone
-
-    fun acquired(
-        term: Term,
-        version: Version,
-        lease: StoreLease,
-        sent: Duration,
-    ) {
-        this.term = term
-        this.version = version
-        this.lease = lease
-        renewed = sent
-        read = sent
-        gone = false
-    }
-
-    /** The same record under the same term, written anew. */
-    fun fenced(version: Version) {
-        if (isLeader) this.version = version
-    }
-
-    fun end() {
-        term = null
-        version = null
-        lease = null
-        gone = false
-    }
-
-    /** Counted from when the renewal was sent: the key-value store cannot have had it earlier. */
-    fun renewed(sent: Duration) {
-        renewed = maxOf(renewed, sent)
-    }
-
-    /** A read of the records that began then was answered, so cancellations told before are known. */
-    fun read(began: Duration) {
-        read = maxOf(read, began)
-    }
-
-    fun lost(why: String) {
-        if (term != null && !gone) LOG.warn("ownership is lost: {}", why)
-        gone = true
-    }
-
-    fun superseded() = lost("a worker has seen a higher term")
-
-    /** Most machines fell silent at once; another controller may still be reached by them. */
-    fun lostContactWithWorkers(now: Duration) {
-        lost("no worker reaches this controller")
-        abstainUntil = now + ABSTAIN
-    }
-
-    /** Until then another should own, if there is one that is served. */
-    var abstainUntil: Duration = Duration.ZERO
-        private set
-
-    private var othersServedSince: Duration? = null
-
-    /**
-     * Past its own lease, while the key-value store serves others: they take over. That others are served is
-     * heard late, so at the beginning of an outage for all it looks the same; it must last, or the leader
-     * would leave all workers without an answer just when nobody can take its place.
-     */
-    fun storeServesOthersOnly(
-        now: Duration,
-        peerHealth: PeerHealth,
-    ): Boolean {
-        val since = if (isLeader && !mayStart(now) && peerHealth == PeerHealth.SERVED) othersServedSince ?: now else null
-        othersServedSince = since
-        return since != null && now - since >= SURE
-    }
-
-    /**
-     * Starts need a read as young as the renewal: renewals may come through where reads do not, and then
-     * a cancellation that another controller has told would not be known here.
-     */
-    fun mayStart(now: Duration): Boolean =
-        isLeader &&
-            !gone &&
-            now < minOf(renewed, read) + timings.leaderLeaseDuration - timings.margin
-
-    /**
-     * Running work outlives a short outage: heartbeats are answered, with no starts, for a bounded time.
-     * It is counted from the older of renewal and read, since a cancellation is only heard by reading.
-     */
-    fun mayAnswer(now: Duration): Boolean =
-        isLeader &&
-            !gone &&
-            now < minOf(renewed, read) + timings.leaderLeaseDuration + timings.grace
-
-    private companion object {
-        val ABSTAIN = 30.seconds
-        val SURE = 2.seconds
-        val LOG = LoggerFactory.getLogger("umberslip.leadership")
-    }
-}
-
-/** Called on the actors' thread. */
-interface LeadershipListener {
-    fun elected(
-        records: RecordView,
-        formerLeaseExpiry: Duration,
-    )
-
-    fun steppedDown()
-}
-
-/** Takes, renews and gives up the one leader's record. */
+/**
+ * Acquires, renews and gives up the leader's record, of which there is one.
+ *
+ * The record is attached to a lease of the key-value store, so it disappears when its leader stops renewing the lease.
+ * Whoever then writes it, under the next term, leads. Runs on the actors' thread.
+ */
 class LeaderElection(
     private val scope: CoroutineScope,
     private val member: String,
@@ -162,124 +40,156 @@
     private val listener: LeadershipListener,
 ) {
     private val log = LoggerFactory.getLogger("umberslip.leadership")
+    private val renewalInterval = timings.leaderLeaseDuration / RENEWALS_PER_LEASE
 
+    /** Takes part in elections until [scope] ends. */
     fun start(): Job =
         scope.launch {
             while (true) {
-                try {
+                catchingStoreFailure({ retryLater(it) }) {
                     if (leaderLease.isLeader) lead() else follow()
-                } catch (e: ServiceUnavailableException) {
-                    log.debug("{}", e.message)
-                    delay(RETRY)
-                } catch (e: NoResponseException) {
-                    log.debug("{}", e.message)
-                    delay(RETRY)
                 }
             }
         }
 
+    private suspend fun retryLater(reason: String?) {
+        log.debug("leader election waits for the key-value store: reason={}", reason)
+        delay(RETRY)
+    }
+
+    // ---- while another leads, or nobody ----
+
     private suspend fun follow() {
         val records = recordWatcher.confirm()
         if (records == null) {
             delay(RETRY)
             return
         }
-        val leader = records.leader
+        val leader = records.leader?.value
         when {
-            leader == null && clock.now() < leaderLease.abstainUntil && peerHealth() == PeerHealth.SERVED -> delay(WATCH)
+            leader == null && mayOtherBeElected() -> delay(WATCH_INTERVAL)
             leader == null -> acquire(records)
-            leader.value.member == member -> {
-                // A process of this name runs once at a time, so the one that took this lease has
-                // ended: its lease need not be waited out. Its late writes fail on the record's version.
-                log.info("ends the lease of this member's former process, term {}", leader.value.term.value)
-                store.endLease(leader.value.lease)
-                recordWatcher.confirm()
-            }
-            else -> delay(WATCH)
+            leader.member == member -> endLeaseOfFormerProcess(leader)
+            else -> delay(WATCH_INTERVAL)
         }
     }
 
+    private fun mayOtherBeElected(): Boolean {
+        if (!leaderLease.isAbstaining(clock.now())) return false
+        return peerHealth() == PeerHealth.SERVED
+    }
+
+    /**
+     * A process of this name runs once at a time, so the one that acquired this lease has ended, and its lease need not
+     * be waited out. Its late writes fail on the record's version.
+     */
+    private suspend fun endLeaseOfFormerProcess(leader: LeaderRecord) {
+        log.info("ending the lease of this member's former process: term={}", leader.term.value)
+        store.endLease(leader.lease)
+        recordWatcher.confirm()
+    }
+
+    // ---- becoming the leader ----
+
     private suspend fun acquire(records: RecordView) {
-        val known = records.term
-        val term = known?.value?.next() ?: Term.FIRST
+        // Taken before anything is awaited: the records go on changing, and the precondition is on what the term
+        // rests on.
+        val formerTerm = records.term
+        val term = formerTerm?.value?.next() ?: Term.FIRST
         val sent = clock.now()
         val lease = store.openLease(timings.leaderLeaseDuration)
-        val result =
-            store.compareAndSwap(
-                listOf(Precondition(Keys.LEADER, Version.NONE), Precondition(Keys.TERM, known?.version ?: Version.NONE)),
-                listOf(
-                    Write.Put(Keys.LEADER, LeaderRecord(member, term, lease).toMap(), lease),
-                    Write.Put(Keys.TERM, TermRecord(term).toMap()),
-                ),
-            )
+        val result = writeLeaderRecord(term, formerTerm?.version ?: Version.NONE, lease)
         if (result !is TransactionResult.Applied) {
             if (result is TransactionResult.PreconditionFailed) store.endLease(lease)
             recordWatcher.confirm()
             return
         }
-        log.info("took the owner's record under term {}", term.value)
-        leaderLease.acquired(term, result.version, lease, sent)
-        val took = clock.now()
-        // Everything written before the record was taken is in a read begun afterwards; whatever a
-        // former leader writes later fails on its precondition.
-        val renewing =
-            scope.launch {
-                while (true) {
-                    renewOnce()
-                    delay(timings.leaderLeaseDuration / RENEWALS)
-                }
-            }
+        log.info("leader's record acquired: term={}", term.value)
+        leaderLease.acquired(HeldLeaderRecord(term, result.version, lease), sent)
+        beginTerm(acquiredAt = clock.now())
+    }
+
+    private suspend fun writeLeaderRecord(
+        term: Term,
+        formerTermVersion: Version,
+        lease: StoreLease,
+    ): TransactionResult =
+        store.compareAndSwap(
+            listOf(Precondition(Keys.LEADER, Version.NONE), Precondition(Keys.TERM, formerTermVersion)),
+            listOf(
+                Write.Put(Keys.LEADER, LeaderRecord(member, term, lease).toMap(), lease),
+                Write.Put(Keys.TERM, mapOf("term" to term.value)),
+            ),
+        )
+
+    /**
+     * Reads the records before the term begins. Everything written before the leader's record was acquired is in a read
+     * begun afterwards; whatever a former leader writes later fails on its precondition.
+     */
+    private suspend fun beginTerm(acquiredAt: Duration) {
+        val renewals = scope.launch { renewRepeatedly() }
         try {
             while (!leaderLease.isLost) {
-                val read = recordWatcher.confirm()
-                if (read != null) {
-                    listener.elected(
-                        read,
-                        took + timings.stretched(timings.grace + timings.lease) + timings.margin * 2,
-                    )
+                val records = recordWatcher.confirm()
+                if (records != null) {
+                    listener.elected(records, formerLeaseExpiry(acquiredAt))
                     return
                 }
                 delay(RETRY)
             }
         } finally {
-            renewing.cancel()
+            renewals.cancel()
+        }
+    }
+
+    /** A former leader can have renewed a worker's lease for the last time at the end of its grace. */
+    private fun formerLeaseExpiry(acquiredAt: Duration): Duration {
+        val graceAndLease = timings.stretched(timings.grace + timings.lease)
+        return acquiredAt + graceAndLease + timings.margin * 2
+    }
+
+    private suspend fun renewRepeatedly() {
+        while (true) {
+            renewOnce()
+            delay(renewalInterval)
         }
     }
 
+    // ---- as the leader ----
+
     private suspend fun lead() {
         if (!leaderLease.isLost) renewOnce()
-        // Nobody waits for this one's grace.
+        // Nobody waits for the end of this leader's grace.
         if (leaderLease.storeServesOthersOnly(clock.now(), peerHealth())) {
-            leaderLease.lost("the state service serves others only")
-        }
-        if (leaderLease.isLost) {
-            val lease = leaderLease.lease
-            leaderLease.end()
-            listener.steppedDown()
-            // Whoever comes next need not wait for it to run out; it may have ended already.
-            if (lease != null) store.endLease(lease)
-        } else {
-            delay(timings.leaderLeaseDuration / RENEWALS)
+            leaderLease.lost("the key-value store serves others only")
         }
+        if (leaderLease.isLost) stepDown() else delay(renewalInterval)
     }
 
     private suspend fun renewOnce() {
-        val lease = leaderLease.lease ?: return
+        val lease = leaderLease.held?.lease ?: return
         val sent = clock.now()
-        try {
-            if (store.renew(lease)) leaderLease.renewed(sent) else leaderLease.lost("its lease has ended")
-        } catch (e: ServiceUnavailableException) {
-            log.debug("not renewed: {}", e.message)
-        } catch (e: NoResponseException) {
-            log.debug("not renewed: {}", e.message)
+        catchingStoreFailure({ log.debug("leader's lease not renewed: reason={}", it) }) {
+            if (store.renew(lease)) leaderLease.renewed(sent) else leaderLease.lost("its lease has expired")
         }
     }
 
+    private suspend fun stepDown() {
+        val lease = leaderLease.held?.lease
+        leaderLease.steppedDown()
+        listener.steppedDown()
+        // The next leader need not wait for the lease to expire; it may have expired already.
+        if (lease != null) store.endLease(lease)
+    }
+
     private companion object {
+        /** After a request to the key-value store failed; short, since nobody may lead meanwhile. */
         val RETRY = 200.milliseconds
-        val WATCH = 250.milliseconds
 
-        /** Renewals of the lease in the time that it lasts. */
-        const val RENEWALS = 5
+        /** How soon after a leader's record disappears a follower tries to acquire it. */
+        val WATCH_INTERVAL = 250.milliseconds
+
+        /** Several renewals may fail before the lease expires. */
+        const val RENEWALS_PER_LEASE = 5
     }
 }
--- a/src/main/kotlin/umberslip/scheduling/Leader.kt
+++ b/src/main/kotlin/umberslip/scheduling/Leader.kt
@@ -6,145 +6,52 @@
 import kotlinx.coroutines.delay
 import kotlinx.coroutines.launch
 import umberslip.actor.Actor
-import umberslip.agents.Heartbeat
-import umberslip.agents.HeartbeatResponse
-import umberslip.agents.HeartbeatVersion
-import umberslip.agents.WorkerCommand
 import umberslip.cloud.InstanceType
 import umberslip.core.Clock
-import umberslip.core.JobId
 import umberslip.core.MachineName
-import umberslip.http.NoResponseException
-import umberslip.http.RateLimitedException
-import umberslip.http.Response
-import umberslip.http.ServiceUnavailableException
-import umberslip.leaderElection.LeaderLease
+import umberslip.leadership.LeaderLease
 import umberslip.peers.PeerHealth
-import umberslip.records.JobOutcome
 import umberslip.records.Keys
-import umberslip.records.LeaderRecord
-import umberslip.records.OutcomeRecord
 import umberslip.records.RecordEvent
-import umberslip.records.RecordView
 import umberslip.settings.Settings
 import umberslip.settings.Timings
 import umberslip.settings.Tuning
 import umberslip.store.KeyValueStore
-import umberslip.store.Precondition
 import umberslip.store.RateLimiter
 import umberslip.store.TransactionResult
-import umberslip.store.Version
-import umberslip.store.Write
 import java.time.Instant
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
-import kotlin.time.Duration.Companion.seconds
 
-sealed interface LeaderMessage {
-    class HeartbeatReceived(
-        val heartbeat: Heartbeat,
-        val respond: (Response) -> Unit,
-    ) : LeaderMessage
-
-    class Elected(
-        val records: RecordView,
-        val formerLeaseExpiry: Duration,
-    ) : LeaderMessage
-
-    data object SteppedDown : LeaderMessage
-
-    class RecordsChanged(
-        val events: List<RecordEvent>,
-    ) : LeaderMessage
-
-    class InstanceTypesChanged(
-        val all: List<InstanceType>,
-    ) : LeaderMessage
-
-    class WriteCompleted(
-        val batch: WriteBatch,
-        val outcome: TransactionResult?,
-    ) : LeaderMessage
-
-    class ContinueDispatch(
-        val machineName: MachineName,
-        val heartbeatVersion: HeartbeatVersion,
-    ) : LeaderMessage
-
-    /** How a job ended that others need; null where that could not be read. */
-    class OutcomeRead(
-        val scheduler: SchedulerState,
-        val id: JobId,
-        val end: JobOutcome?,
-    ) : LeaderMessage
-
-    data object Tick : LeaderMessage
-
-    data object Flush : LeaderMessage
-
-    /** From the fleet: asks for what it plans from; answered with how long that took, too. */
-    class TakeSnapshot(
-        val answer: (ClusterSnapshot?, Duration) -> Unit,
-    ) : LeaderMessage
-
-    /** From the fleet: [machineNames] get nothing new, all others may; from [emptied] what can be saved moves on. */
-    class Drain(
-        val machineNames: Set<MachineName>,
-        val emptied: Set<MachineName>,
-    ) : LeaderMessage
-
-    /** From the fleet: nothing more is told to these; answered with those that may go now. */
-    class PrepareTermination(
-        val machineNames: Set<MachineName>,
-        val evenIfBusy: Boolean,
-        val answer: (List<MachineName>) -> Unit,
-    ) : LeaderMessage
-
-    class Terminated(
-        val machineNames: List<MachineName>,
-    ) : LeaderMessage
-}
-
-/** The leader's actor: workers' heartbeats in, orders and records out. Decisions are the [SchedulerState]'s. */
+/**
+ * The leader's actor: workers' heartbeats in, commands and records out.
+ *
+ * It owns the [SchedulerState] of its term, which makes the decisions, and has none while this controller does not
+ * lead. What waits for the key-value store runs beside it and sends a message when it is done.
+ */
 class Leader(
     private val scope: CoroutineScope,
     private val settings: Settings,
     private val tuning: Tuning,
     private val timings: Timings,
-    private val store: KeyValueStore,
-    private val writes: RateLimiter,
+    store: KeyValueStore,
+    writes: RateLimiter,
     private val clock: Clock,
     private val wallClock: () -> Instant,
     private val leaderLease: LeaderLease,
-    private val refresh: () -> Unit,
+    refreshRecords: () -> Unit,
     private val peerHealth: () -> PeerHealth,
     private val termListener: LeaderTermListener,
     metrics: MeterRegistry,
 ) : Actor<LeaderMessage>("dispatch", scope, DEFAULT_CAPACITY + settings.sockets) {
-    private class Waiting(
-        val heartbeatVersion: HeartbeatVersion,
-        val respond: (Response) -> Unit,
-        val until: Duration,
-    )
-
     private var scheduler: SchedulerState? = null
     private var maintenance: Maintenance? = null
     private var instanceTypes: List<InstanceType> = emptyList()
-    private val waiting = HashMap<MachineName, Waiting>()
-
-    /** Workers sent to ask around, while nobody can say whether there is another leader. */
-    private val sentAway = HashSet<MachineName>()
-
-    /** When the ends of needed jobs were last asked for. */
-    private val askedEnds = HashMap<JobId, Duration>()
-    private var writing = false
-    private var flushTimer: Job? = null
-    private var flushedAt = Duration.ZERO
-
-    /** Batches come no closer than this, however many writes are allowed: each is read by every controller. */
-    private val minBatchInterval = maxOf(MIN_BATCH_INTERVAL, (MIN_OPS / settings.storeLimits.writeRps).seconds)
-    private val heartbeats = metrics.counter("umberslip.reports")
-    private val starts = metrics.counter("umberslip.starts")
+    private val responder = HeartbeatResponder(leaderLease, peerHealth, metrics)
+    private val dependencyLookups = DependencyLookups(scope, store) { enqueue(it) }
+    private val resolution = WriteResolution(settings.member, store, leaderLease) { it === scheduler }
+    private val batchWriter =
+        BatchWriter(scope, settings.storeLimits, store, writes, leaderLease, resolution, refreshRecords) { enqueue(it) }
     private val batches = metrics.counter("umberslip.batches")
     private val written = metrics.counter("umberslip.writes")
 
@@ -161,80 +68,58 @@
     override suspend fun receive(message: LeaderMessage) {
         val now = clock.now()
         when (message) {
-            is LeaderMessage.HeartbeatReceived -> reported(message.heartbeat, message.respond, now)
-            is LeaderMessage.Elected -> lead(message, now)
-            LeaderMessage.SteppedDown -> stepDown()
-            is LeaderMessage.RecordsChanged -> scheduler?.let { changed(it, message.events, now) }
-            is LeaderMessage.InstanceTypesChanged -> {
-                instanceTypes = message.all
-                scheduler?.setInstanceTypes(instanceTypes)
-            }
-            is LeaderMessage.WriteCompleted -> written(message, now)
+            is LeaderMessage.HeartbeatReceived -> heartbeatReceived(message, now)
+            is LeaderMessage.Elected -> elected(message, now)
+            LeaderMessage.SteppedDown -> steppedDown()
+            is LeaderMessage.RecordsChanged -> scheduler?.let { recordsChanged(it, message.events, now) }
+            is LeaderMessage.InstanceTypesChanged -> instanceTypesChanged(message.all)
+            is LeaderMessage.WriteCompleted -> writeCompleted(message, now)
             is LeaderMessage.ContinueDispatch -> continueDispatch(message, now)
-            is LeaderMessage.OutcomeRead -> {
-                if (message.scheduler === scheduler && message.end != null) {
-                    message.scheduler.dependencyEnded(message.id, message.end, now)
-                }
-            }
-            LeaderMessage.Tick -> tick(now)
-            LeaderMessage.Flush -> flush(now)
-            is LeaderMessage.TakeSnapshot -> {
-                val view = scheduler?.let { ClusterSnapshot.of(it, now) }
-                message.answer(view, clock.now() - now)
-            }
-            is LeaderMessage.Drain ->
-                scheduler?.let { scheduler ->
-                    scheduler.machines.values.forEach { it.isDraining = it.name in message.machineNames }
-                    maintenance?.migrate(scheduler.machines.values.filter { it.name in message.emptied }, now)
-                }
-            is LeaderMessage.PrepareTermination -> {
-                val machines = scheduler?.machines
-                message.answer(
-                    message.machineNames.filter { name ->
-                        val machine = machines?.get(name)
-                        val may = machine == null || message.evenIfBusy || machine.assignments.isEmpty()
-                        if (may) machine?.isTerminating = true
-                        may
-                    },
-                )
-            }
+            is LeaderMessage.OutcomeRead -> outcomeRead(message, now)
+            LeaderMessage.Tick -> scheduler?.let { tick(it, now) }
+            LeaderMessage.Flush -> scheduler?.let { batchWriter.flush(it, now) }
+            is LeaderMessage.TakeSnapshot -> takeSnapshot(message, now)
+            is LeaderMessage.Drain -> scheduler?.let { drain(it, message, now) }
+            is LeaderMessage.PrepareTermination -> prepareTermination(message)
             is LeaderMessage.Terminated -> scheduler?.terminated(message.machineNames, now)
         }
     }
 
-    private fun lead(
+    // ---- leadership ----
+
+    private fun elected(
         message: LeaderMessage.Elected,
         now: Duration,
     ) {
-        val term = leaderLease.term ?: return
-        val version = leaderLease.version ?: return
-        val observer = termListener.elected(term, now)
-        val fresh =
-            SchedulerState(settings, timings, term, version, wallClock, reconciliationObserver = observer)
-        fresh.setInstanceTypes(instanceTypes)
-        fresh.load(message.records, now, message.formerLeaseExpiry)
-        scheduler = fresh
-        askedEnds.clear()
-        readEnds(fresh, now)
-        maintenance = Maintenance(fresh, settings, timings)
+        val held = leaderLease.held ?: return
+        val observer = termListener.elected(held.term, now)
+        val elected =
+            SchedulerState(settings, timings, held.term, held.version, wallClock, reconciliationObserver = observer)
+        elected.setInstanceTypes(instanceTypes)
+        elected.load(message.records, now, message.formerLeaseExpiry)
+        scheduler = elected
+        dependencyLookups.clear()
+        dependencyLookups.begin(elected, now)
+        maintenance = Maintenance(elected, settings, timings)
         log.info(
-            "owner under term {}: {} jobs, {} machines with recorded tasks",
-            term.value,
-            fresh.jobs.size,
-            fresh.machines.size,
+            "leadership began: term={} jobs={} machines_with_recorded_tasks={}",
+            held.term.value,
+            elected.jobs.size,
+            elected.machines.size,
         )
     }
 
-    private fun stepDown() {
-        if (scheduler != null) log.warn("no longer the owner")
+    private fun steppedDown() {
+        scheduler?.let { log.warn("leadership ended: term={}", it.term.value) }
         scheduler = null
         maintenance = null
         termListener.steppedDown()
-        waiting.values.forEach { it.respond(REFUSED) }
-        waiting.clear()
+        responder.refuseAll()
     }
 
-    private fun changed(
+    // ---- what others report ----
+
+    private fun recordsChanged(
         scheduler: SchedulerState,
         events: List<RecordEvent>,
         now: Duration,
@@ -247,315 +132,146 @@
                 is RecordEvent.LeaderChanged -> Unit
             }
         }
-        readEnds(scheduler, now)
+        dependencyLookups.begin(scheduler, now)
         scheduler.inheritPriorities(now)
     }
 
-    /** Ends of needed jobs that are not among the unfinished ones are read one by one; they never change. */
-    private fun readEnds(
-        scheduler: SchedulerState,
-        now: Duration,
-    ) {
-        if (scheduler.dependencyGraph.unread.isEmpty()) {
-            askedEnds.clear()
-            return
-        }
-        for (id in scheduler.dependencyGraph.unread
-            .filter { now - (askedEnds[it] ?: -ASK_AGAIN) >= ASK_AGAIN }
-            .take(MAX_ASKED)) {
-            askedEnds[id] = now
-            scope.launch {
-                val end =
-                    try {
-                        store.get(Keys.outcome(id))?.let { OutcomeRecord.parse(it.data).end }
-                    } catch (e: ServiceUnavailableException) {
-                        null
-                    } catch (e: NoResponseException) {
-                        null
-                    }
-                enqueue(LeaderMessage.OutcomeRead(scheduler, id, end))
-            }
-        }
+    private fun instanceTypesChanged(all: List<InstanceType>) {
+        instanceTypes = all
+        scheduler?.setInstanceTypes(all)
     }
 
-    // ---- heartbeats ----
-
-    private fun reported(
-        heartbeat: Heartbeat,
-        respond: (Response) -> Unit,
+    private fun outcomeRead(
+        message: LeaderMessage.OutcomeRead,
         now: Duration,
     ) {
-        val scheduler = scheduler
-        if (scheduler == null || !leaderLease.mayAnswer(now)) {
-            respond(REFUSED)
-            return
-        }
-        heartbeats.increment()
-        if (mayBeReplaced(heartbeat.machineName, now)) {
-            respond(Response.MISDIRECTED)
-            return
-        }
-        when (scheduler.heartbeat(heartbeat, now)) {
-            HeartbeatDisposition.OUT_OF_DATE -> respond(REFUSED)
-            HeartbeatDisposition.SUPERSEDED -> {
-                respond(Response.error(421, "a higher term is known"))
-                leaderLease.superseded()
-            }
-            HeartbeatDisposition.TOKEN_BEHIND -> {
-                scheduler.leaseRenewed(heartbeat.machineName, now)
-                respond(Response(200, HeartbeatResponse(scheduler.term).toMap()))
-            }
-            HeartbeatDisposition.ACCEPTED -> {
-                waiting.remove(heartbeat.machineName)?.respond?.invoke(REFUSED)
-                waiting[heartbeat.machineName] = Waiting(heartbeat.heartbeatVersion, respond, now + REPLY_WITHIN)
-                continueDispatch(LeaderMessage.ContinueDispatch(heartbeat.machineName, heartbeat.heartbeatVersion), now)
-            }
-        }
+        val outcome = message.outcome ?: return
+        if (message.scheduler === scheduler) message.scheduler.dependencyEnded(message.id, outcome, now)
     }
 
-    /**
-     * Past its lease and with no other controller in reach, an leader may have a successor that its
-     * workers would find. It sends each to ask around; one that comes back found none, and is answered
-     * that time, so that its lease goes on where the key-value store is away for all.
-     */
-    private fun mayBeReplaced(
-        machineName: MachineName,
+    // ---- heartbeats and dispatch ----
+
+    private fun heartbeatReceived(
+        message: LeaderMessage.HeartbeatReceived,
         now: Duration,
-    ): Boolean {
-        if (leaderLease.mayStart(now) || peerHealth() != PeerHealth.UNREACHABLE) {
-            sentAway.clear()
-            return false
-        }
-        return sentAway.add(machineName) || !sentAway.remove(machineName)
+    ) {
+        if (!responder.receive(scheduler, message, now)) return
+        val heartbeat = message.heartbeat
+        continueDispatch(LeaderMessage.ContinueDispatch(heartbeat.machineName, heartbeat.heartbeatVersion), now)
     }
 
-    /** One round of placing for a machine; what the budget cuts off goes on after other messages had their turn. */
+    /** One round of dispatch to a machine; what the time limit cuts off goes on after other messages had their turn. */
     private fun continueDispatch(
-        dispatch: LeaderMessage.ContinueDispatch,
+        message: LeaderMessage.ContinueDispatch,
         now: Duration,
     ) {
         val scheduler = scheduler ?: return
-        val machine = scheduler.machines[dispatch.machineName] ?: return
-        if (machine.heartbeatVersion != dispatch.heartbeatVersion) return
+        val machine = scheduler.machines[message.machineName] ?: return
+        if (machine.heartbeatVersion != message.heartbeatVersion) return
         if (leaderLease.mayStart(now)) {
             val end = now + tuning.roundBudget
             if (!scheduler.dispatch(machine, now) { clock.now() > end }) {
-                enqueue(dispatch)
+                enqueue(message)
                 return
             }
         }
-        if (!scheduler.hasUnrecorded(machine)) answer(scheduler, machine, now) else flush(now)
+        if (scheduler.hasUnrecorded(machine)) {
+            batchWriter.flush(scheduler, now)
+        } else {
+            responder.respond(scheduler, machine, now)
+        }
     }
 
-    private fun answer(
+    private fun tick(
         scheduler: SchedulerState,
-        machine: Machine,
         now: Duration,
     ) {
-        val waiter = waiting.remove(machine.name) ?: return
-        if (waiter.heartbeatVersion != machine.heartbeatVersion || machine.isTerminating || !leaderLease.mayAnswer(now)) {
-            waiter.respond(REFUSED)
-            return
-        }
-        val commands = scheduler.commands(machine, leaderLease.mayStart(now))
-        commands.forEach { if (it is WorkerCommand.Start) starts.increment() }
-        scheduler.leaseRenewed(machine.name, now)
-        waiter.respond(Response(200, HeartbeatResponse(scheduler.term, commands).toMap()))
-    }
-
-    private fun tick(now: Duration) {
-        val scheduler = scheduler ?: return
         maintenance?.let {
             it.tick(now)
             if (it.hasLostWorkers(now) && peerHealth() == PeerHealth.SERVED) leaderLease.lostContactWithWorkers(now)
         }
-        readEnds(scheduler, now)
-        for ((name, waiter) in waiting.entries.toList()) {
-            if (waiter.until <= now) scheduler.machines[name]?.let { answer(scheduler, it, now) }
-        }
-        flush(now)
+        dependencyLookups.begin(scheduler, now)
+        responder.respondToOverdue(scheduler, now)
+        batchWriter.flush(scheduler, now)
     }
 
-    // ---- writing ----
+    // ---- writes ----
 
-    private fun flush(now: Duration) {
-        val scheduler = scheduler ?: return
-        if (writing || !leaderLease.mayStart(now)) return
-        // Batches come no faster than the key-value store's rate lets them be; later ones hold more.
-        val wait = maxOf(writes.wait(MIN_OPS), flushedAt + minBatchInterval - now)
-        if (wait > Duration.ZERO) {
-            flushIn(wait)
-            return
-        }
-        val batch =
-            scheduler.writeAheadLog.nextBatch(
-                minOf(settings.storeLimits.transactionOps, writes.available().coerceAtLeast(MIN_OPS)),
-                scheduler.machines.keys,
-                now,
-            )
-                ?: return
-        writing = true
-        flushedAt = now
-        scope.launch {
-            writes.take(batch.writes.size, urgent = true)
-            val outcome =
-                try {
-                    store.compareAndSwap(batch.preconditions, batch.writes).also {
-                        if (it is TransactionResult.PreconditionFailed && Keys.LEADER !in it.failed) {
-                            log.info("a batch was refused for {}", it.failed)
-                            resolve(scheduler, it.failed)
-                            refresh()
-                        }
-                    }
-                } catch (e: RateLimitedException) {
-                    writes.lower()
-                    notTaken(e)
-                } catch (e: ServiceUnavailableException) {
-                    notTaken(e)
-                } catch (e: NoResponseException) {
-                    log.info("the fate of a batch is unknown: {}", e.message)
-                    if (fence(scheduler)) resolve(scheduler, batch.preconditions.map { it.key }.filter { it != Keys.LEADER })
-                    null
-                }
-            enqueue(LeaderMessage.WriteCompleted(batch, outcome))
-        }
-    }
-
-    private suspend fun notTaken(cause: ServiceUnavailableException): TransactionResult? {
-        log.debug("a batch was not taken: {}", cause.message)
-        delay(RETRY)
-        return null
-    }
-
-    private fun flushIn(wait: Duration) {
-        if (flushTimer?.isActive == true) return
-        flushTimer =
-            scope.launch {
-                delay(wait)
-                flushTimer = null
-                enqueue(LeaderMessage.Flush)
-            }
-    }
-
-    private fun written(
+    private fun writeCompleted(
         message: LeaderMessage.WriteCompleted,
         now: Duration,
     ) {
-        writing = false
+        batchWriter.completed()
         val scheduler = scheduler ?: return
-        when (val outcome = message.outcome) {
-            is TransactionResult.Applied -> {
-                batches.increment()
-                written.increment(
-                    message.batch.writes.size
-                        .toDouble(),
-                )
-                for (name in scheduler.applied(message.batch, outcome.version, now)) {
-                    scheduler.machines[name]?.let { if (!scheduler.hasUnrecorded(it)) answer(scheduler, it, now) }
-                }
-            }
+        val batch = message.batch
+        when (val result = message.result) {
+            is TransactionResult.Applied -> applied(scheduler, batch, result, now)
             is TransactionResult.PreconditionFailed -> {
-                scheduler.writeAheadLog.notApplied(message.batch)
-                if (Keys.LEADER in outcome.failed) {
-                    leaderLease.lost("its record is not ours any more")
+                scheduler.writeAheadLog.notApplied(batch)
+                if (Keys.LEADER in result.failed) {
+                    leaderLease.lost("the leader's record is another's")
                     return
                 }
             }
             is TransactionResult.Rejected -> {
-                log.error("a batch of {} writes is too large or malformed: {}", message.batch.writes.size, outcome.why)
-                scheduler.writeAheadLog.rejected(message.batch)
+                log.error("batch rejected for its size or form: writes={} reason={}", batch.writes.size, result.why)
+                scheduler.writeAheadLog.rejected(batch)
             }
-            else -> scheduler.writeAheadLog.notApplied(message.batch)
+            TransactionResult.LeaseExpired, null -> scheduler.writeAheadLog.notApplied(batch)
         }
-        flush(clock.now())
+        batchWriter.flush(scheduler, clock.now())
     }
 
-    /**
-     * A write without an answer may be carried out long after a read that does not show it. So before
-     * anything rests on such a read, the leader's record is written anew: every write of this term is
-     * guarded by that record's version, so what has not come through by then never will. False where the
-     * record is not ours any more.
-     */
-    private suspend fun fence(scheduler: SchedulerState): Boolean {
-        while (this.scheduler === scheduler) {
-            val version = leaderLease.version ?: return false
-            val record = LeaderRecord(settings.member, scheduler.term, leaderLease.lease ?: return false)
-            try {
-                when (
-                    val result =
-                        store.compareAndSwap(
-                            listOf(Precondition(Keys.LEADER, version)),
-                            listOf(Write.Put(Keys.LEADER, record.toMap(), record.lease)),
-                        )
-                ) {
-                    is TransactionResult.Applied -> return fenced(scheduler, result.version)
-                    is TransactionResult.PreconditionFailed -> {
-                        // An earlier try without an answer came through, or somebody else leads.
-                        val entry = store.get(Keys.LEADER)
-                        if (entry != null && LeaderRecord.parse(entry.data) == record) {
-                            return fenced(scheduler, entry.version)
-                        }
-                        leaderLease.lost("its record is not ours any more")
-                        return false
-                    }
-                    TransactionResult.LeaseExpired, is TransactionResult.Rejected -> {
-                        leaderLease.lost("its lease has ended")
-                        return false
-                    }
-                }
-            } catch (e: ServiceUnavailableException) {
-                log.debug("not fenced yet: {}", e.message)
-            } catch (e: NoResponseException) {
-                log.debug("perhaps not fenced yet: {}", e.message)
-            }
-            delay(RETRY)
+    private fun applied(
+        scheduler: SchedulerState,
+        batch: WriteBatch,
+        result: TransactionResult.Applied,
+        now: Duration,
+    ) {
+        batches.increment()
+        written.increment(batch.writes.size.toDouble())
+        for (name in scheduler.applied(batch, result.version, now)) {
+            val machine = scheduler.machines[name] ?: continue
+            if (!scheduler.hasUnrecorded(machine)) responder.respond(scheduler, machine, now)
         }
-        return false
     }
 
-    private fun fenced(
-        scheduler: SchedulerState,
-        version: Version,
-    ): Boolean {
-        leaderLease.fenced(version)
-        scheduler.writeAheadLog.fenced(version)
-        return true
+    // ---- the provisioner's requests ----
+
+    private fun takeSnapshot(
+        message: LeaderMessage.TakeSnapshot,
+        now: Duration,
+    ) {
+        val snapshot = scheduler?.let { ClusterSnapshot.of(it, now) }
+        message.answer(snapshot, clock.now() - now)
     }
 
-    /**
-     * After a refusal, or when a write's fate is unknown and it is fenced off, the keys are read before
-     * anything more is written to them.
-     */
-    private suspend fun resolve(
+    private fun drain(
         scheduler: SchedulerState,
-        keys: List<String>,
+        message: LeaderMessage.Drain,
+        now: Duration,
     ) {
-        for (key in keys) {
-            var tries = 0
-            while (this.scheduler === scheduler) {
-                try {
-                    val entry = store.get(key)
-                    scheduler.resolve(key, entry?.version, entry?.data)
-                    break
-                } catch (e: ServiceUnavailableException) {
-                    if (tries++ == 0) log.info("{} cannot be read yet: {}", key, e.message)
-                    delay(RETRY)
-                } catch (e: NoResponseException) {
-                    if (tries++ == 0) log.info("{} cannot be read yet: {}", key, e.message)
-                    delay(RETRY)
-                }
-            }
-        }
+        scheduler.machines.values.forEach { it.isDraining = it.name in message.machineNames }
+        maintenance?.migrate(scheduler.machines.values.filter { it.name in message.emptied }, now)
+    }
+
+    private fun prepareTermination(message: LeaderMessage.PrepareTermination) {
+        message.answer(message.machineNames.filter { mayTerminate(it, message.evenIfBusy) })
+    }
+
+    /** If so, nothing more is sent to the machine. */
+    private fun mayTerminate(
+        name: MachineName,
+        evenIfBusy: Boolean,
+    ): Boolean {
+        val machine = scheduler?.machines?.get(name) ?: return true
+        if (!evenIfBusy && machine.assignments.isNotEmpty()) return false
+        machine.isTerminating = true
+        return true
     }
 
     private companion object {
+        /** A fraction of the shortest time that maintenance and overdue responses go by. */
         val TICK = 200.milliseconds
-        val RETRY = 200.milliseconds
-        val REPLY_WITHIN = 1200.milliseconds
-        const val MIN_OPS = 3
-        val ASK_AGAIN = 2.seconds
-        const val MAX_ASKED = 10
-        val MIN_BATCH_INTERVAL = 75.milliseconds
-        val REFUSED = Response.retryAfter(1, "not the owner, or an old report")
     }
 }
--- a/src/main/kotlin/umberslip/scheduling/LogCompaction.kt
+++ b/src/main/kotlin/umberslip/scheduling/LogCompaction.kt
@@ -20,7 +20,7 @@
     private val job = block.job
     private val firstIndex = block.number * job.tasksPerBlock
     private val indices = firstIndex until minOf(firstIndex + job.tasksPerBlock, job.spec.tasks)
-    private val starts = indices.mapNotNull { job.assigned[it] }.filter { it.recorded }.map(::placement)
+    private val starts = indices.mapNotNull { job.assigned[it] }.filter { it.recorded }.map(::placementOf)
     private val doneExits =
         indices
             .filter { job.isDone(it) && !block.storedDone[it - firstIndex] }
@@ -29,7 +29,7 @@
     /** The highest attempt number ever logged must stay readable, since numbers only rise. */
     private val lastLogged = block.lastLogged?.takeIf { last -> starts.none { it.attempt >= last.attempt } }
 
-    private fun placement(assignment: Assignment) = Placement(assignment.index, assignment.attempt, assignment.machineName)
+    private fun placementOf(start: Assignment) = Placement(start.index, start.attempt, start.machineName)
 
     /** The rows of the block's job, each for an entry of its own that fits into a value of [valueBytes]. */
     fun rows(valueBytes: Int): List<LogRow> {
--- a/src/test/kotlin/umberslip/leadership/LeaderLeaseTest.kt
+++ b/src/test/kotlin/umberslip/leadership/LeaderLeaseTest.kt
@@ -1,4 +1,4 @@
-package umberslip.leaderElection
+package umberslip.leadership
 
 import io.kotest.property.Arb
 import io.kotest.property.PropTestConfig
@@ -23,9 +23,10 @@
 class LeaderLeaseTest {
     private val workers = Settings.parse(Fixtures.settingsJson("c-0")).workers
     private val timings = Timings(workers, Tuning())
+    private val firstRecord = HeldLeaderRecord(Term.FIRST, Version(1), StoreLease(1))
 
     @Test
-    fun `entitlement ends by the older of renewal and read, whatever their order`() =
+    fun `a leader may do nothing past the older of renewal and read, whatever their order`() =
         runBlocking<Unit> {
             checkAll(
                 PropTestConfig(seed = 8, iterations = 300),
@@ -33,18 +34,18 @@
                 Arb.int(0..60_000),
                 Arb.int(0..90_000),
             ) { renewed, read, now ->
-                val a = LeaderLease(timings)
-                a.acquired(Term.FIRST, Version(1), StoreLease(1), 0.seconds)
-                a.renewed(renewed.milliseconds)
-                a.read(read.milliseconds)
+                val leaderLease = LeaderLease(timings)
+                leaderLease.acquired(firstRecord, 0.seconds)
+                leaderLease.renewed(renewed.milliseconds)
+                leaderLease.read(read.milliseconds)
                 val at = now.milliseconds
                 assertEquals(
                     at < minOf(renewed, read).milliseconds + timings.leaderLeaseDuration - timings.margin,
-                    a.mayStart(at),
+                    leaderLease.mayStart(at),
                 )
-                if (a.mayAnswer(at)) {
-                    // A cancellation told just after the last read bites in time: the lease that this
-                    // answer renews ends within the time that a cancellation has.
+                if (leaderLease.mayAnswer(at)) {
+                    // A cancellation acknowledged just after the last read takes effect in time: the lease that this
+                    // response renews expires within the time that a cancellation has.
                     assertTrue(at + timings.lease + timings.margin < minOf(read, renewed).milliseconds + workers.cancel)
                 }
             }
@@ -52,26 +53,26 @@
 
     @Test
     fun `nothing is allowed once leadership is lost`() {
-        val a = LeaderLease(timings)
-        assertFalse(a.mayAnswer(0.seconds))
-        a.acquired(Term.FIRST, Version(1), StoreLease(1), 0.seconds)
-        assertTrue(a.mayStart(1.seconds))
-        a.superseded()
-        assertFalse(a.mayStart(1.seconds) || a.mayAnswer(1.seconds))
+        val leaderLease = LeaderLease(timings)
+        assertFalse(leaderLease.mayAnswer(0.seconds))
+        leaderLease.acquired(firstRecord, 0.seconds)
+        assertTrue(leaderLease.mayStart(1.seconds))
+        leaderLease.superseded()
+        assertFalse(leaderLease.mayStart(1.seconds) || leaderLease.mayAnswer(1.seconds))
     }
 
     @Test
-    fun `an outage for all is not taken for one of its own`() {
-        // Found on a day of half as many machines again: the last good word of the others, heard at the
-        // beginning of an outage, made the leader leave its workers, and none could follow it.
-        val a = LeaderLease(timings)
-        a.acquired(Term.FIRST, Version(1), StoreLease(1), 0.seconds)
+    fun `an outage for all controllers is not mistaken for one of the leader alone`() {
+        // Found on a day of half as many machines again: at the beginning of an outage, the last time that the peers
+        // said they were served made the leader step down, and none of them could take over.
+        val leaderLease = LeaderLease(timings)
+        leaderLease.acquired(firstRecord, 0.seconds)
 
         fun after(
             seconds: Double,
             peerHealth: PeerHealth,
-        ) = a.storeServesOthersOnly(seconds.seconds, peerHealth)
-        assertFalse(after(2.0, PeerHealth.SERVED), "within its own hold")
+        ) = leaderLease.storeServesOthersOnly(seconds.seconds, peerHealth)
+        assertFalse(after(2.0, PeerHealth.SERVED), "while its own lease lasts")
         assertFalse(after(3.1, PeerHealth.SERVED))
         assertFalse(after(4.4, PeerHealth.UNSERVED))
         assertFalse(after(5.0, PeerHealth.SERVED))
