--- a/src/test/kotlin/umberslip/scheduling/DependencyGraphTest.kt
+++ b/src/test/kotlin/umberslip/scheduling/DependencyGraphTest.kt
@@ -25,7 +25,7 @@
 import kotlin.time.Duration.Companion.seconds
 
 class DependencyGraphTest {
-    /** Chains, diamonds, wide fan-in and fan-out, and all between; a job needs only such as came before. */
+    /** Chains, diamonds, wide fan-in and fan-out, and all between; a job depends only on jobs submitted before it. */
     private fun graph(random: Random): List<JobSpec> {
         val most = listOf(1, 2, 6)[random.nextInt(3)]
         val specs = ArrayList<JobSpec>()
@@ -42,7 +42,7 @@
         return specs
     }
 
-    /** The same by plain words, over all jobs that ever were. */
+    /** The same by its definition, over all jobs that ever were submitted. */
     private class Model(
         val specs: Map<JobId, JobSpec>,
     ) {
@@ -51,7 +51,7 @@
 
         private val known = HashMap<Pair<String, JobId>, Any?>()
 
-        /** Something has changed: what follows from it is worked out anew. */
+        /** A job was submitted or has ended: what follows from it is computed anew. */
         fun changed() = known.clear()
 
         @Suppress("UNCHECKED_CAST")
@@ -66,7 +66,7 @@
         }
 
         fun dependencyCancelled(id: JobId): Boolean =
-            once("off", id) {
+            once("cancelled", id) {
                 specs.getValue(id).dependencies.any { it in cancelled || dependencyCancelled(it) }
             }
 
@@ -83,30 +83,30 @@
             id: JobId,
             among: Set<JobId>,
         ): Priority =
-            once("urgency", id) {
+            once("priority", id) {
                 val inherited = dependents(id, among).map { priority(it, among) }
                 (inherited + specs.getValue(id).priority).min()
             }
 
-        /** The earliest of the deadlines that it has for others. */
+        /** The earliest of the deadlines that it inherits. */
         fun inherited(
             id: JobId,
             among: Set<JobId>,
         ): Duration? =
-            once("due", id) {
+            once("deadline", id) {
                 dependents(id, among)
-                    .mapNotNull { d ->
-                        val spec = specs.getValue(d)
+                    .mapNotNull { dependent ->
+                        val spec = specs.getValue(dependent)
                         listOfNotNull(
                             spec.deadlineSeconds?.seconds,
-                            inherited(d, among),
+                            inherited(dependent, among),
                         ).minOrNull()?.minus(spec.expectedSeconds.seconds)
                     }.minOrNull()
             }
     }
 
     @Test
-    fun `who waits, who is called off, how urgent and by when, through generated graphs`() =
+    fun `blocked and cancelled jobs, priorities and deadlines are as defined, through generated graphs`() =
         runBlocking<Unit> {
             checkAll(PropTestConfig(seed = 21, iterations = 300), Arb.long()) { seed ->
                 val random = Random(seed)
@@ -114,14 +114,14 @@
                 val model = Model(specs.associateBy { it.id })
                 val jobs = LinkedHashMap<JobId, RunningJob>()
                 val dependencyGraph = DependencyGraph(jobs)
-                // A new leader meets them in any order; else they come one after the other while others end.
-                val takenOver = random.nextBoolean()
-                val toCome = ArrayDeque(if (takenOver) specs.shuffled(random) else specs)
-                while (toCome.isNotEmpty() || jobs.keys.any(model::open)) {
+                // A new leader loads them in any order; else they are submitted one after the other while others end.
+                val afterFailover = random.nextBoolean()
+                val notSubmitted = ArrayDeque(if (afterFailover) specs.shuffled(random) else specs)
+                while (notSubmitted.isNotEmpty() || jobs.keys.any(model::open)) {
                     val ready = jobs.keys.filter { model.open(it) && !model.isBlocked(it) }
                     when {
-                        toCome.isNotEmpty() && (takenOver || ready.isEmpty() || random.nextInt(3) > 0) -> {
-                            val spec = toCome.removeFirst()
+                        notSubmitted.isNotEmpty() && (afterFailover || ready.isEmpty() || random.nextInt(3) > 0) -> {
+                            val spec = notSubmitted.removeFirst()
                             val due = listOfNotNull(spec.deadlineSeconds?.seconds)
                             val job =
                                 RunningJob(
@@ -152,7 +152,7 @@
                             dependencyGraph.ended(id, JobOutcome.DONE)
                         }
                     }
-                    // The records of those that were called off go, too, sooner or later.
+                    // The records of cancelled jobs are removed, too, sooner or later.
                     for (id in jobs.keys.filter { it in model.cancelled || model.dependencyCancelled(it) }) {
                         if (random.nextInt(4) == 0) {
                             dependencyGraph.removed(jobs.remove(id) ?: error("not there"))
@@ -160,16 +160,18 @@
                             if (random.nextBoolean()) dependencyGraph.ended(id, JobOutcome.CANCELLED)
                         }
                     }
-                    // What was over before its successors came is read.
+                    // The outcome of a job that ended before its dependents were submitted is read.
                     for (id in dependencyGraph.unread.toList()) {
                         if (id in model.done) {
                             dependencyGraph.ended(id, JobOutcome.DONE)
-                        } else if (id in model.cancelled || (id !in jobs && toCome.none { it.id == id })) {
+                        } else if (id in model.cancelled || (id !in jobs && notSubmitted.none { it.id == id })) {
                             dependencyGraph.ended(id, JobOutcome.CANCELLED)
                         }
                     }
-                    for ((job, rank) in dependencyGraph.inheritPriorities()) job.inherit(rank.priority, rank.deadlines, Duration.ZERO)
-                    for ((id, job) in jobs) check(id, job, model, jobs, toCome.isEmpty() || !takenOver)
+                    for ((job, inherited) in dependencyGraph.inheritPriorities()) {
+                        job.inherit(inherited.priority, inherited.deadlines, Duration.ZERO)
+                    }
+                    for ((id, job) in jobs) check(id, job, model, jobs, notSubmitted.isEmpty() || !afterFailover)
                 }
             }
         }
@@ -182,15 +184,15 @@
         complete: Boolean,
     ) {
         if (id in model.cancelled) return
-        if (model.isBlocked(id)) assertEquals(0, job.waiting, "$id must wait")
+        if (model.isBlocked(id)) assertEquals(0, job.waiting, "$id must not be placed")
         if (!complete) return
-        assertEquals(model.dependencyCancelled(id), job.dependencyCancelled, "$id called off")
+        assertEquals(model.dependencyCancelled(id), job.dependencyCancelled, "$id cancelled")
         if (job.dependencyCancelled) return
         assertEquals(model.isBlocked(id), job.isBlocked, "$id blocked")
         assertEquals(model.priority(id, jobs.keys), job.priority, "$id priority")
         val own = job.spec.deadlineSeconds?.seconds ?: 3600.seconds
-        assertEquals(listOfNotNull(own, model.inherited(id, jobs.keys)).min(), job.firstDeadline, "$id due")
-        val lineage =
+        assertEquals(listOfNotNull(own, model.inherited(id, jobs.keys)).min(), job.firstDeadline, "$id deadline")
+        val state =
             DependencyState.of(job.record.value, { jobs[it]?.record?.value }) {
                 if (it in model.done) {
                     JobOutcome.DONE
@@ -200,11 +202,11 @@
                     JobOutcome.CANCELLED
                 }
             }
-        assertEquals(DependencyState.Open, lineage)
+        assertEquals(DependencyState.Open, state)
     }
 
     @Test
-    fun `a job that needs a cancelled one is called off however far away it is, and what is not known is asked for`() {
+    fun `a job is cancelled with a dependency however far away it is, and unknown outcomes are asked for`() {
         val specs =
             List(2000) { n ->
                 Fixtures.job(Random(n), n).copy(
@@ -223,76 +225,65 @@
         assertEquals(DependencyState.Cancelled, of(JobOutcome.CANCELLED))
         assertEquals(DependencyState.Open, of(JobOutcome.DONE))
         assertEquals(DependencyState.Unread(setOf(specs[0].id)), of(null))
-        val called =
+        val cancelled =
             DependencyState.of(
                 records.getValue(specs.last().id),
                 { id -> records[id]?.let { if (id == specs[7].id) it.copy(cancelled = true) else it } },
             ) { null }
-        assertEquals(DependencyState.Cancelled, called)
+        assertEquals(DependencyState.Cancelled, cancelled)
     }
 
     @Test
-    fun `nothing of a job is placed before the end of what it needs is recorded`() {
-        val t = TestScheduler()
-        val first = t.job { it.copy(tasks = 1) }
-        val second = t.job { it.copy(tasks = 1, dependencies = listOf(first.spec.id), priority = Priority.HIGH) }
-        t.heartbeat("m")
-        t.dispatch("m")
-        t.write()
+    fun `nothing of a job is placed before the outcomes of its dependencies are recorded`() {
+        val leader = TestScheduler()
+        val first = leader.job { it.copy(tasks = 1) }
+        val second = leader.job { it.copy(tasks = 1, dependencies = listOf(first.spec.id), priority = Priority.HIGH) }
+        leader.heartbeat("m")
+        leader.dispatch("m")
+        leader.write()
         assertEquals(
             listOf(first.spec.id),
-            t
-                .machine("m")
-                .assignments.keys
-                .map { it.job },
+            leader.tasksOn("m").map { it.job.spec.id },
         )
-        val a =
-            t
-                .machine("m")
-                .assignments.values
-                .single()
-        t.heartbeat("m", TestScheduler.ended(a.id, a.attempt, ExitCause.DONE))
-        t.dispatch("m")
+        leader.heartbeat("m", ended(leader.tasksOn("m").single(), ExitCause.DONE))
+        leader.dispatch("m")
         assertTrue(first.finished, "done, and not recorded yet")
-        assertTrue(t.machine("m").assignments.isEmpty())
+        assertTrue(leader.machine("m").assignments.isEmpty())
         assertEquals(
             listOf(0, 0.0),
             listOf(
                 second.waiting,
-                t.scheduler.teams
+                leader.scheduler.teams
                     .getValue("green")
                     .quota.usedCpus,
             ),
-            "it holds nothing",
+            "it has nothing allocated",
         )
-        t.write()
-        t.dispatch("m")
+        leader.write()
+        leader.dispatch("m")
         assertEquals(
             listOf(second.spec.id),
-            t
-                .machine("m")
-                .assignments.keys
-                .map { it.job },
+            leader.tasksOn("m").map { it.job.spec.id },
         )
-        assertEquals(t.now, second.runnableSince, "its times count from now on")
+        assertEquals(leader.now, second.runnableSince, "its objectives count from now on")
     }
 
     @Test
-    fun `those after a cancelled job end without a start, as the records say to a successor, too`() {
-        val t = TestScheduler()
-        val first = t.job { it.copy(tasks = 1) }
-        val second = t.job { it.copy(dependencies = listOf(first.spec.id)) }
-        val third = t.job { it.copy(dependencies = listOf(second.spec.id)) }
-        t.cancel(first)
+    fun `dependents of a cancelled job end without a start, as the records show a successor, too`() {
+        val leader = TestScheduler()
+        val first = leader.job { it.copy(tasks = 1) }
+        val second = leader.job { it.copy(dependencies = listOf(first.spec.id)) }
+        val third = leader.job { it.copy(dependencies = listOf(second.spec.id)) }
+        leader.cancel(first)
         assertTrue(second.dependencyCancelled && third.dependencyCancelled)
-        t.heartbeat("m")
-        t.dispatch("m")
-        t.write()
-        assertEquals(emptyList<WorkerCommand>(), t.commands("m"))
-        assertTrue(t.scheduler.jobs.isEmpty())
+        leader.heartbeat("m")
+        leader.dispatch("m")
+        leader.write()
+        assertEquals(emptyList<WorkerCommand>(), leader.commands("m"))
+        assertTrue(leader.scheduler.jobs.isEmpty())
         assertEquals(
             setOf("end/${second.spec.id.value}", "end/${third.spec.id.value}"),
-            t.written
+            leader.written
                 .map { it.key }
                 .filter { it.startsWith("end/") }
                 .toSet(),
@@ -300,19 +291,19 @@
     }
 
     @Test
-    fun `a new leader asks how those ended that its jobs need`() {
-        val t = TestScheduler()
-        val gone = JobId("run-900000")
-        val job = t.job { it.copy(tasks = 1, dependencies = listOf(gone)) }
-        t.heartbeat("m")
-        t.dispatch("m")
-        assertEquals(setOf(gone), t.scheduler.dependencyGraph.unread)
-        assertTrue(t.machine("m").assignments.isEmpty())
-        t.scheduler.dependencyEnded(gone, JobOutcome.DONE, t.now)
-        t.dispatch("m")
+    fun `a new leader asks for the outcomes that its jobs depend on`() {
+        val leader = TestScheduler()
+        val finished = JobId("run-900000")
+        val job = leader.job { it.copy(tasks = 1, dependencies = listOf(finished)) }
+        leader.heartbeat("m")
+        leader.dispatch("m")
+        assertEquals(setOf(finished), leader.scheduler.dependencyGraph.unread)
+        assertTrue(leader.machine("m").assignments.isEmpty())
+        leader.scheduler.dependencyEnded(finished, JobOutcome.DONE, leader.now)
+        leader.dispatch("m")
         assertEquals(1, job.assigned.size)
         assertTrue(
-            t.scheduler.dependencyGraph.unread
+            leader.scheduler.dependencyGraph.unread
                 .isEmpty(),
         )
     }
--- /dev/null
+++ b/src/test/kotlin/umberslip/scheduling/HeartbeatReconciliationTest.kt
@@ -0,0 +1,190 @@
+package umberslip.scheduling
+
+import io.kotest.property.Arb
+import io.kotest.property.PropTestConfig
+import io.kotest.property.arbitrary.long
+import io.kotest.property.checkAll
+import kotlinx.coroutines.runBlocking
+import org.junit.jupiter.api.Assertions.assertEquals
+import org.junit.jupiter.api.Assertions.assertFalse
+import org.junit.jupiter.api.Assertions.assertNull
+import org.junit.jupiter.api.Assertions.assertTrue
+import org.junit.jupiter.api.Test
+import umberslip.agents.WorkerCommand
+import umberslip.core.MachineName
+import umberslip.core.TaskId
+import umberslip.core.Term
+import kotlin.random.Random
+import kotlin.time.Duration.Companion.seconds
+
+/** What a heartbeat shows of a machine and its tasks, and what it does not. */
+class HeartbeatReconciliationTest {
+    private val leader = TestScheduler()
+
+    @Test
+    fun `a heartbeat with an older fencing token or sequence number shows nothing`() {
+        val job = leader.job()
+        leader.startAll(job)
+        assertEquals(HeartbeatDisposition.OUT_OF_DATE, leader.heartbeat("m", sequenceNumber = 1))
+        val withOlderToken = leader.heartbeat("m", fencingToken = Term(4), sequenceNumber = 50)
+        assertEquals(HeartbeatDisposition.TOKEN_BEHIND, withOlderToken)
+        assertEquals(3, job.assigned.size)
+        assertEquals(emptyList<WorkerCommand>(), leader.commands("m"))
+        val withNewerToken = leader.heartbeat("m", fencingToken = Term(6), sequenceNumber = 51)
+        assertEquals(HeartbeatDisposition.SUPERSEDED, withNewerToken)
+    }
+
+    private class DelayedHeartbeat(
+        val sequenceNumber: Long,
+        val fencingToken: Term,
+        val attempts: Map<TaskId, Long>,
+    )
+
+    private class DelayedResponse(
+        val term: Term,
+        val commands: List<WorkerCommand>,
+    )
+
+    /** What really is on a machine, with heartbeats that are under way or arrive again later. */
+    private class ActualMachine(
+        var fencingToken: Term,
+    ) {
+        /** The attempt of each task on the machine. */
+        val attempts = LinkedHashMap<TaskId, Long>()
+        var sequenceNumber = 0L
+        val delayedHeartbeats = ArrayList<DelayedHeartbeat>()
+
+        /** The last response of a former leader, which may still arrive. */
+        var delayedResponse: DelayedResponse? = null
+
+        fun execute(commands: List<WorkerCommand>) {
+            for (command in commands) {
+                when (command) {
+                    is WorkerCommand.Start -> attempts.putIfAbsent(command.task, command.attempt)
+                    is WorkerCommand.Stop -> attempts.remove(command.task, command.attempt)
+                    is WorkerCommand.Clear -> Unit
+                }
+            }
+        }
+    }
+
+    @Test
+    fun `what is on a machine is held for it whatever heartbeats of former terms arrive`() =
+        runBlocking<Unit> {
+            var tokenBehind = 0
+            checkAll(PropTestConfig(seed = 5, iterations = 300), Arb.long()) { seed ->
+                val random = Random(seed)
+                var leader = TestScheduler()
+                val actual = ActualMachine(leader.term)
+                val jobs = List(4) { leader.job { it.copy(tasks = 3, cpus = 0.5, memoryGb = 0.1) } }.map { it.spec.id }
+
+                fun deliver(
+                    sequenceNumber: Long,
+                    fencingToken: Term,
+                    attempts: Map<TaskId, Long>,
+                    responseArrives: Boolean,
+                ) {
+                    val disposition =
+                        leader.heartbeat(
+                            "m",
+                            *attempts.map { (task, attempt) -> TestScheduler.running(task, attempt) }.toTypedArray(),
+                            fencingToken = fencingToken,
+                            sequenceNumber = sequenceNumber,
+                        )
+                    if (disposition == HeartbeatDisposition.TOKEN_BEHIND) tokenBehind++
+                    if (disposition == HeartbeatDisposition.ACCEPTED) {
+                        leader.dispatch("m")
+                        leader.write()
+                        val commands = leader.commands("m")
+                        if (responseArrives) actual.execute(commands)
+                        actual.delayedResponse =
+                            if (responseArrives) null else DelayedResponse(leader.term, commands)
+                    }
+                    if (responseArrives && disposition in ANSWERED) actual.fencingToken = leader.term
+                }
+                repeat(25) {
+                    leader.now += 1.seconds
+                    when (random.nextInt(8)) {
+                        0 -> leader = leader.successor()
+                        1 -> {
+                            actual.delayedHeartbeats.removeFirstOrNull()?.let {
+                                deliver(it.sequenceNumber, it.fencingToken, it.attempts, responseArrives = false)
+                            }
+                        }
+                        3 -> {
+                            val response = actual.delayedResponse
+                            actual.delayedResponse = null
+                            if (response != null && response.term >= actual.fencingToken) {
+                                actual.execute(response.commands)
+                            }
+                        }
+                        2 -> leader.scheduler.jobs[jobs.random(random)]?.let(leader::cancel)
+                        else -> {
+                            val attempts = actual.attempts.toMap()
+                            val sequenceNumber = ++actual.sequenceNumber
+                            val fencingToken = actual.fencingToken
+                            if (random.nextInt(3) == 0) {
+                                actual.delayedHeartbeats += DelayedHeartbeat(sequenceNumber, fencingToken, attempts)
+                            }
+                            // Delayed before it arrives, or answered; the response may be lost.
+                            if (random.nextInt(5) > 0) {
+                                deliver(sequenceNumber, fencingToken, attempts, responseArrives = random.nextInt(5) > 0)
+                            }
+                        }
+                    }
+                    for ((task, attempt) in actual.attempts) {
+                        val assignment =
+                            leader.scheduler.jobs[task.job]
+                                ?.assigned
+                                ?.get(task.index)
+                        assertTrue(
+                            assignment?.machineName == MachineName("m") && assignment.attempt == attempt,
+                            "$task is on the machine and not held for it",
+                        )
+                    }
+                }
+            }
+            assertTrue(tokenBehind > 100, "only $tokenBehind heartbeats of former terms")
+        }
+
+    @Test
+    fun `a machine that does not receive responses gets no new work and does not count as alive`() {
+        val first = leader.job { it.copy(tasks = 1) }
+        leader.startAll(first)
+        leader.now += 5.seconds
+        // The sequence number has moved on by more than one: the worker was elsewhere, so no response reached it.
+        leader.heartbeat("m", *first.placedTasks().map(::running).toTypedArray(), sequenceNumber = 5)
+        leader.job { it.copy(tasks = 2) }
+        leader.dispatch("m")
+        assertEquals(
+            setOf(first.spec.id),
+            leader.tasksOn("m").map { it.job.spec.id }.toSet(),
+        )
+        assertEquals(5.seconds, leader.machine("m").timeSinceContact(leader.now))
+        assertFalse(leader.machine("m").isUsable)
+        // A new epoch makes former commands obsolete; a response that arrived makes the machine usable again.
+        leader.heartbeat("m", session = 2, sequenceNumber = 9)
+        assertEquals(0, leader.machine("m").assignments.size)
+        leader.heartbeat("m", session = 2, sequenceNumber = 10)
+        leader.dispatch("m")
+        assertEquals(3, leader.machine("m").assignments.size)
+    }
+
+    @Test
+    fun `late copies of heartbeats add no machine, renew nothing and show nothing`() {
+        val ofFormerTerm = leader.heartbeat("unknown", fencingToken = Term(4), sequenceNumber = 7)
+        assertEquals(HeartbeatDisposition.TOKEN_BEHIND, ofFormerTerm)
+        assertNull(leader.scheduler.machines[MachineName("unknown")], "a copy from before this term")
+        val job = leader.job()
+        leader.startAll(job)
+        leader.now += 20.seconds
+        assertEquals(HeartbeatDisposition.OUT_OF_DATE, leader.heartbeat("m", sequenceNumber = 1))
+        assertEquals(20.seconds, leader.machine("m").timeSinceContact(leader.now))
+        assertEquals(3, job.assigned.size)
+    }
+
+    private companion object {
+        /** The dispositions whose response carries the leader's term. */
+        val ANSWERED = setOf(HeartbeatDisposition.ACCEPTED, HeartbeatDisposition.TOKEN_BEHIND)
+    }
+}
--- a/src/test/kotlin/umberslip/scheduling/StarvationTest.kt
+++ b/src/test/kotlin/umberslip/scheduling/StarvationTest.kt
@@ -6,7 +6,7 @@
 import kotlin.random.Random
 import kotlin.time.Duration.Companion.seconds
 
-/** What waits longest gets its share in spite of what is more urgent, or smaller. */
+/** The jobs that wait longest get their share in spite of jobs that have a higher priority, or smaller tasks. */
 class StarvationTest {
     /**
      * From incidents inc-0eb9 and inc-2363: idle jobs whose tasks take half a machine waited for up to eleven minutes,
@@ -19,24 +19,24 @@
 
     private fun play(seed: Int) {
         val random = Random(seed)
-        val t = TestScheduler()
-        val fleet = BusyCluster(t, machines = 12)
-        var owed = 0.0
+        val leader = TestScheduler()
+        val cluster = BusyCluster(leader, machines = 12)
+        var missingCpuSeconds = 0.0
         val large = ArrayList<RunningJob>()
         for (second in 1..(LARGE_AT + WITHIN)) {
-            t.now += 1.seconds
-            owed += fleet.cpus * OVERLOAD
-            while (owed > 0) {
+            leader.now += 1.seconds
+            missingCpuSeconds += cluster.cpus * OVERLOAD
+            while (missingCpuSeconds > 0) {
                 val tasks = random.nextInt(10, 60)
                 val seconds = random.nextInt(10, 40)
-                owed -= tasks * seconds
+                missingCpuSeconds -= tasks * seconds
                 val priority = if (random.nextInt(3) == 0) Priority.IDLE else Priority.NORMAL
-                t.job { it.copy(priority = priority, tasks = tasks, expectedSeconds = seconds.toDouble()) }
+                leader.job { it.copy(priority = priority, tasks = tasks, expectedSeconds = seconds.toDouble()) }
             }
             if (second == LARGE_AT) {
                 repeat(2) {
                     large +=
-                        t.job {
+                        leader.job {
                             it.copy(
                                 priority = Priority.IDLE,
                                 tasks = 6,
@@ -48,7 +48,7 @@
                         }
                 }
             }
-            fleet.step()
+            cluster.step()
         }
         for (job in large) {
             val begun = job.assigned.size + job.doneCount
--- a/src/test/kotlin/umberslip/scheduling/TestScheduler.kt
+++ b/src/test/kotlin/umberslip/scheduling/TestScheduler.kt
@@ -31,7 +31,10 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** A scheduler with machines that report when told to, and a key-value store that takes every batch. */
+/**
+ * The scheduler state of a leader, with machines that send a heartbeat when a test does so, a clock that a test
+ * advances through [now], and a key-value store that applies every batch on [write].
+ */
 class TestScheduler(
     val term: Term = Term(5),
     private val replica: RecordReplica = RecordReplica(),
@@ -46,13 +49,18 @@
         }
     private val maintenance = Maintenance(scheduler, settings, timings)
     var now: Duration = 100.seconds
+
+    /** That of the store's newest write. */
     var version = 100L
-    private val counters = HashMap<MachineName, Long>()
-    private var made = 0
+    private val sequenceNumbers = HashMap<MachineName, Long>()
+    private var createdJobs = 0
+
+    /** Everything that was written, in order. */
     val written = ArrayList<Write>()
 
+    /** Submits a job of three tasks that run for 10 s and have a deadline of 60 s, but for what [change] changes. */
     fun job(change: (JobSpec) -> JobSpec = { it }): RunningJob {
-        val number = ++made
+        val number = ++createdJobs
         val spec =
             change(
                 Fixtures.unboundJob(Random(1), number).copy(
@@ -80,6 +88,7 @@
             now,
         )
 
+    /** Processes a heartbeat, by default the machine's next one, and renews its lease as the leader does. */
     fun heartbeat(
         machineName: String,
         vararg tasks: ReportedTask,
@@ -92,39 +101,67 @@
         warning: Double? = null,
     ): HeartbeatDisposition {
         val name = MachineName(machineName)
-        val next = sequenceNumber ?: ((counters[name] ?: 0) + 1)
-        counters[name] = next
-        return scheduler
-            .heartbeat(Heartbeat(name, type, zone, spot, HeartbeatVersion(session, next), fencingToken, warning, tasks.toList()), now)
-            .also { if (it == HeartbeatDisposition.ACCEPTED || it == HeartbeatDisposition.TOKEN_BEHIND) scheduler.leaseRenewed(name, now) }
+        val next = sequenceNumber ?: ((sequenceNumbers[name] ?: 0) + 1)
+        sequenceNumbers[name] = next
+        val version = HeartbeatVersion(session, next)
+        val heartbeat = Heartbeat(name, type, zone, spot, version, fencingToken, warning, tasks.toList())
+        val disposition = scheduler.heartbeat(heartbeat, now)
+        if (disposition == HeartbeatDisposition.ACCEPTED || disposition == HeartbeatDisposition.TOKEN_BEHIND) {
+            scheduler.leaseRenewed(name, now)
+        }
+        return disposition
+    }
+
+    /** Places, records and starts the job's tasks on a machine, and shows them running there. */
+    fun startAll(
+        job: RunningJob,
+        machineName: String = "m",
+    ) {
+        heartbeat(machineName)
+        dispatch(machineName)
+        write()
+        heartbeat(machineName, *job.placedTasks().map(::running).toTypedArray())
     }
 
     fun dispatch(machineName: String) = scheduler.dispatch(machine(machineName), now) { false }
 
     fun machine(machineName: String) = scheduler.machines.getValue(MachineName(machineName))
 
+    /** In the order in which they were placed; none of an unknown machine. */
+    fun tasksOn(machineName: String): List<Assignment> =
+        scheduler.machines[MachineName(machineName)]
+            ?.assignments
+            ?.values
+            ?.toList()
+            .orEmpty()
+
     fun commands(
         machineName: String,
         mayStart: Boolean = true,
     ): List<WorkerCommand> = scheduler.commands(machine(machineName), mayStart)
 
-    fun starts(machineName: String): List<TaskId> = commands(machineName).filterIsInstance<WorkerCommand.Start>().map { it.task }
+    fun starts(machineName: String): List<TaskId> {
+        val starts = commands(machineName).filterIsInstance<WorkerCommand.Start>()
+        return starts.map { it.task }
+    }
 
     fun tick() = maintenance.tick(now)
 
     fun hasLostWorkers(): Boolean = maintenance.hasLostWorkers(now)
 
-    /** Whatever an leader writes must fail once another leads. */
-    fun batch(): WriteBatch? =
-        scheduler.writeAheadLog.nextBatch(settings.storeLimits.transactionOps, scheduler.machines.keys, now)?.also { batch ->
-            check(batch.preconditions.count { it.key == Keys.LEADER && it.version != Version.NONE } == 1) {
-                "a batch without the owner's guard: ${batch.preconditions}"
-            }
-            for (write in batch.writes) checkStartsAreGuarded(write, batch.preconditions)
+    /** The next batch to write, null if none is due. Whatever a leader writes must fail once another is elected. */
+    fun batch(): WriteBatch? {
+        val maxOps = settings.storeLimits.transactionOps
+        val batch = scheduler.writeAheadLog.nextBatch(maxOps, scheduler.machines.keys, now) ?: return null
+        check(batch.preconditions.count { it.key == Keys.LEADER && it.version != Version.NONE } == 1) {
+            "a batch without the precondition of the leader's record: ${batch.preconditions}"
         }
+        for (write in batch.writes) checkStartsHavePreconditions(write, batch.preconditions)
+        return batch
+    }
 
     /** A start is recorded under the precondition of its job's record, whatever it is recorded for. */
-    private fun checkStartsAreGuarded(
+    private fun checkStartsHavePreconditions(
         write: Write,
         preconditions: List<Precondition>,
     ) {
@@ -136,11 +173,12 @@
                 row.starts.filter { start ->
                     job.assigned[start.index]?.let { it.attempt == start.attempt && !it.recorded } ?: false
                 }
-            check(unrecorded.isEmpty() || preconditions.any { it.key == Keys.job(id) }) { "$id: unguarded $unrecorded" }
+            val hasPrecondition = preconditions.any { it.key == Keys.job(id) }
+            check(unrecorded.isEmpty() || hasPrecondition) { "$id: no precondition for $unrecorded" }
         }
     }
 
-    /** Writes all that is due, as the key-value store would take it. */
+    /** Writes all that is due, as the key-value store would apply it; returns the number of writes. */
     fun write(): Int {
         var ops = 0
         while (true) {
@@ -148,28 +186,30 @@
             ops += batch.writes.size
             written += batch.writes
             version++
-            for (w in batch.writes) {
-                replica.apply(
-                    when (w) {
-                        is Write.Put -> {
-                            Change.Put(w.key, Documents.readCbor(Documents.writeCbor(w.data)), Version(version))
-                        }
-                        is Write.Drop -> Change.Drop(w.key, Version(version))
-                    },
-                )
-            }
+            batch.writes.forEach(::replicate)
             scheduler.applied(batch, Version(version), now)
         }
     }
 
-    /** What an operator is told of the records as they stand. */
+    private fun replicate(write: Write) {
+        val change =
+            when (write) {
+                is Write.Put ->
+                    Change.Put(write.key, Documents.readCbor(Documents.writeCbor(write.data)), Version(version))
+                is Write.Drop -> Change.Drop(write.key, Version(version))
+            }
+        replica.apply(change)
+    }
+
+    /** What operators see of the records as they stand. */
     fun recorded(): RecordedWork = RecordedWork.of(replica, settings)
 
+    /** A leader of the next term that has loaded the records as they stand. */
     fun successor() =
         TestScheduler(term.next(), replica, settingsJson, logSlots).also {
             it.now = now
             it.version = version
-            it.made = made
+            it.createdJobs = createdJobs
             it.scheduler.load(replica, now, now + 30.seconds)
         }
 
@@ -186,3 +226,13 @@
         ) = ReportedTask(task, attempt, TaskState.EXITED, cause, false)
     }
 }
+
+/** The tasks that are, or may be, on machines, by their index. */
+internal fun RunningJob.placedTasks(): List<Assignment> = assigned.values.sortedBy { it.index }
+
+internal fun running(assignment: Assignment): ReportedTask = TestScheduler.running(assignment.id, assignment.attempt)
+
+internal fun ended(
+    assignment: Assignment,
+    cause: ExitCause,
+): ReportedTask = TestScheduler.ended(assignment.id, assignment.attempt, cause)
