--- a/src/main/kotlin/umberslip/scheduling/Assignment.kt
+++ b/src/main/kotlin/umberslip/scheduling/Assignment.kt
@@ -14,7 +14,7 @@
     /** Zero until the task is given an attempt number, which for a gang happens once it is complete. */
     var attempt: Long,
     val machineName: MachineName,
-    /** Empty while only the records name the machine; its first heartbeat tells the zone. */
+    /** Empty while only the records name the machine; its first heartbeat has the zone. */
     val zone: String,
 ) {
     val id = TaskId(job.spec.id, index)
@@ -67,7 +67,7 @@
         for (task in tasks) if (task.gracePeriod == null) task.gracePeriod = gracePeriod
     }
 
-    /** The same task in the zone that its machine's heartbeat tells. To be used instead of this one. */
+    /** The same task with the zone that its machine's heartbeat has; it replaces this one. */
     fun inZone(zone: String): Assignment {
         val moved = Assignment(job, index, attempt, machineName, zone)
         moved.recorded = recorded
--- a/src/main/kotlin/umberslip/scheduling/AssignmentLifecycle.kt
+++ b/src/main/kotlin/umberslip/scheduling/AssignmentLifecycle.kt
@@ -5,7 +5,7 @@
 import kotlin.time.Duration
 
 /**
- * Puts assignments on machines and takes them off, and tells everything that counts them: the job, the machine, the
+ * Puts assignments on machines and takes them off, and updates everything that counts them: the job, the machine, the
  * team's quota, both queues and the write-ahead log. The collections belong to [SchedulerState].
  */
 internal class AssignmentLifecycle(
@@ -16,6 +16,7 @@
     private val starvationGuard: StarvationGuard,
     private val writeAheadLog: WriteAheadLog,
 ) {
+    /** Puts the task on the machine; it counts against the machine and the team from now on. */
     fun attach(
         assignment: Assignment,
         machine: Machine,
@@ -28,6 +29,7 @@
         refresh(job)
     }
 
+    /** Takes the task off its machine without writing anything; it waits again unless it is done. */
     fun detach(assignment: Assignment) {
         machines[assignment.machineName]?.remove(assignment)
         assignment.job.unplace(assignment)
--- a/src/main/kotlin/umberslip/scheduling/DispatchRounds.kt
+++ b/src/main/kotlin/umberslip/scheduling/DispatchRounds.kt
@@ -12,7 +12,10 @@
     /** How long the machine stays; infinite unless it is drained. */
     val availableFor: Duration,
     val now: Duration,
-)
+) {
+    /** What is left once a task was placed on the machine. */
+    fun afterPlacement(): FreeCapacity? = machine.freeResources()?.let { FreeCapacity(machine, it, availableFor, now) }
+}
 
 /** Fills a machine's free resources with tasks: the teams take turns, and starving jobs get their share of them. */
 internal class DispatchRounds(
@@ -27,10 +30,7 @@
         now: Duration,
         isOutOfTime: () -> Boolean,
     ): Boolean {
-        if (!machine.acceptsWork || machine.noPlacementUntil > now) return true
-        val availableFor = if (machine.isUsable) Duration.INFINITE else machine.remainingDrainTime(now)
-        var free = machine.freeResources()?.let { FreeCapacity(machine, it, availableFor, now) } ?: return true
-        if (free.resources.isNone || hasUnknownTasks(machine)) return true
+        var free = freeCapacity(machine, now) ?: return true
         val candidates = LinkedHashMap<Dispatcher, RunningJob>()
         for (team in teams.values) team.nextJob(free)?.let { candidates[team] = it }
         while (candidates.isNotEmpty()) {
@@ -40,7 +40,7 @@
             if (index != null) {
                 place(job, index, machine, now)
                 starvationGuard.dispatched(job, outOfTurn = job === starving, now)
-                free = machine.freeResources()?.let { FreeCapacity(machine, it, availableFor, now) } ?: return true
+                free = free.afterPlacement() ?: return true
             }
             if (isOutOfTime()) return false
             refresh(candidates, job, free)
@@ -48,6 +48,18 @@
         return true
     }
 
+    /** Null if nothing may be placed on the machine now, whatever waits. */
+    private fun freeCapacity(
+        machine: Machine,
+        now: Duration,
+    ): FreeCapacity? {
+        if (!machine.acceptsWork || machine.noPlacementUntil > now) return null
+        val availableFor = if (machine.isUsable) Duration.INFINITE else machine.remainingDrainTime(now)
+        val resources = machine.freeResources() ?: return null
+        if (resources.isNone || hasUnknownTasks(machine)) return null
+        return FreeCapacity(machine, resources, availableFor, now)
+    }
+
     /** Whether something runs there that the records do not know, so that the free resources are not known either. */
     private fun hasUnknownTasks(machine: Machine): Boolean =
         machine.reported.values.any {
--- a/src/main/kotlin/umberslip/scheduling/Dispatcher.kt
+++ b/src/main/kotlin/umberslip/scheduling/Dispatcher.kt
@@ -43,6 +43,7 @@
         if (isChanged) smallestRequest = null
     }
 
+    /** The job has ended. */
     fun remove(job: RunningJob) {
         if (queue.remove(job)) smallestRequest = null
     }
@@ -121,7 +122,7 @@
                 queue.minOf { it.resources.memoryGb },
             ).also { smallestRequest = it }
 
-    /** Its deadline leaves time to wait for a machine with its image, and it was not passed over for long. */
+    /** Its deadline leaves time to wait for a machine with its image, and others did not go first for long. */
     private fun mayWaitForImage(
         job: RunningJob,
         now: Duration,
@@ -135,16 +136,30 @@
         free: FreeCapacity,
     ): Boolean {
         val machine = free.machine
-        val now = free.now
-        if (machine.reservedFor.let { it != null && it !== job }) return false
-        if (job.retryAfter > now || !free.resources.covers(job.resources)) return false
-        if (job.isQuarantined && job.assigned.isNotEmpty()) return false
-        if (!machine.fitsInHeartbeat(job.spec)) return false
-        if (!endsBeforeTermination(job, free)) return false
-        if (job.spec.shape == Shape.GANG && !mayAssemble(job, now)) return false
+        if (!fits(job, free) || !mayStartNow(job, free.now)) return false
         if (!job.mayRunOn(machine) || !quota.isWithinLimit(job.resources) || job.nextTask() == null) return false
-        if (job.spec.image !in machine.images && shouldWaitForImage(job, machine, now)) return false
-        return !hasFailedRecently(job, machine, now)
+        if (job.spec.image !in machine.images && shouldWaitForImage(job, machine, free.now)) return false
+        return !hasFailedRecently(job, machine, free.now)
+    }
+
+    private fun fits(
+        job: RunningJob,
+        free: FreeCapacity,
+    ): Boolean {
+        val reservedFor = free.machine.reservedFor
+        if (reservedFor != null && reservedFor !== job) return false
+        if (!free.resources.covers(job.resources)) return false
+        return free.machine.fitsInHeartbeat(job.spec) && endsBeforeTermination(job, free)
+    }
+
+    /** Whether the job itself allows another task, wherever that is placed. */
+    private fun mayStartNow(
+        job: RunningJob,
+        now: Duration,
+    ): Boolean {
+        if (job.retryAfter > now) return false
+        if (job.isQuarantined && job.assigned.isNotEmpty()) return false
+        return job.spec.shape != Shape.GANG || mayAssemble(job, now)
     }
 
     /**
--- a/src/main/kotlin/umberslip/scheduling/FailureTracker.kt
+++ b/src/main/kotlin/umberslip/scheduling/FailureTracker.kt
@@ -160,6 +160,7 @@
     /** On how many machines tasks failed. */
     val machineCount: Int get() = machines.size
 
+    /** A task failed on [machine] after running for [ranFor]. */
     fun add(
         machine: MachineName,
         ranFor: Duration,
@@ -169,6 +170,7 @@
         longestRun = maxOf(longestRun, ranFor)
     }
 
+    /** A task succeeded. */
     fun clear() {
         machines.clear()
         tries = 0
--- a/src/main/kotlin/umberslip/scheduling/GangAssembly.kt
+++ b/src/main/kotlin/umberslip/scheduling/GangAssembly.kt
@@ -40,6 +40,7 @@
         job.assemblyTimeout = firstTimeout
     }
 
+    /** Ends each assembly that has reached its timeout; called on every tick. */
     fun enforceTimeouts(now: Duration) {
         val assembling = teams.values.flatMap { team -> team.waiting.filter { it.assemblingSince != null } }
         for (job in assembling) enforceTimeout(job, now)
--- a/src/main/kotlin/umberslip/scheduling/HeartbeatReconciliation.kt
+++ b/src/main/kotlin/umberslip/scheduling/HeartbeatReconciliation.kt
@@ -10,7 +10,7 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Compares the tasks that a current heartbeat lists with those assigned to its machine, and takes over what the worker
+ * Compares the tasks that a current heartbeat lists with those assigned to its machine, and applies what the worker
  * knows better: what runs, what exited, and what is not there.
  */
 internal class HeartbeatReconciliation(
--- a/src/main/kotlin/umberslip/scheduling/InterruptionDraining.kt
+++ b/src/main/kotlin/umberslip/scheduling/InterruptionDraining.kt
@@ -13,6 +13,7 @@
     private val settings: WorkerSettings,
     private val timings: Timings,
 ) {
+    /** Stops the tasks for which it is time; called on every tick for each machine. */
     fun check(
         machine: Machine,
         now: Duration,
--- a/src/main/kotlin/umberslip/scheduling/LeaseExpiry.kt
+++ b/src/main/kotlin/umberslip/scheduling/LeaseExpiry.kt
@@ -55,9 +55,9 @@
         now: Duration,
         isZoneUnresponsive: () -> Boolean,
     ): Boolean {
-        val silence = machine.timeSinceContact(now)
-        if (silence < settings.lease) return false
-        return silence > MAX_ZONE_OUTAGE || !isZoneUnresponsive()
+        val timeSinceContact = machine.timeSinceContact(now)
+        if (timeSinceContact < settings.lease) return false
+        return timeSinceContact > MAX_ZONE_OUTAGE || !isZoneUnresponsive()
     }
 
     private companion object {
--- a/src/main/kotlin/umberslip/scheduling/Machine.kt
+++ b/src/main/kotlin/umberslip/scheduling/Machine.kt
@@ -120,6 +120,7 @@
         reservedSince = now
     }
 
+    /** Counts the task against the machine; one that is there already has no effect. */
     fun add(assignment: Assignment) {
         if (assigned.put(assignment.id, assignment) != null) return
         val spec = assignment.job.spec
@@ -128,6 +129,7 @@
         images.taskAdded(spec.image)
     }
 
+    /** Reverses [add]; an assignment that was replaced meanwhile has no effect. */
     fun remove(assignment: Assignment) {
         if (!assigned.remove(assignment.id, assignment)) return
         val spec = assignment.job.spec
--- a/src/main/kotlin/umberslip/scheduling/MachineHeartbeats.kt
+++ b/src/main/kotlin/umberslip/scheduling/MachineHeartbeats.kt
@@ -7,13 +7,14 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** Takes over what a heartbeat says of the machine itself: its type and zone, contact, interruption notice. */
+/** Applies what a heartbeat says of the machine itself: its type and zone, contact, interruption notice. */
 internal class MachineHeartbeats(
     private val instanceTypes: Map<String, InstanceType>,
     private val pendingRevocations: MutableSet<MachineName>,
 ) {
     private val log = LoggerFactory.getLogger("umberslip.scheduling")
 
+    /** Type, zone and version; also of heartbeats that carry an older fencing token. */
     fun describe(
         machine: Machine,
         heartbeat: Heartbeat,
--- a/src/main/kotlin/umberslip/scheduling/MachineImages.kt
+++ b/src/main/kotlin/umberslip/scheduling/MachineImages.kt
@@ -16,11 +16,13 @@
     /** Whether a task was ever started with this image, so that it is there or soon will be. */
     operator fun contains(image: String): Boolean = image in requested
 
+    /** A task was placed on the machine, so its image will be fetched unless it is there. */
     fun taskAdded(image: String) {
         requested.add(image)
         if (image !in fetched) awaited.merge(image, 1, Int::plus)
     }
 
+    /** Reverses the expectation of a fetch, not a fetch. */
     fun taskRemoved(image: String) {
         awaited.computeIfPresent(image) { _, count -> if (count > 1) count - 1 else null }
     }
--- a/src/main/kotlin/umberslip/scheduling/Maintenance.kt
+++ b/src/main/kotlin/umberslip/scheduling/Maintenance.kt
@@ -20,6 +20,7 @@
     private val migration = Migration(scheduler)
     private val workerContact = WorkerContact(scheduler, settings.workers)
 
+    /** Called several times a second. */
     fun tick(now: Duration) {
         val unresponsiveZones by lazy(LazyThreadSafetyMode.NONE) { workerContact.unresponsiveZones(now) }
         scheduler.failures.tick(now)
--- a/src/main/kotlin/umberslip/scheduling/Migration.kt
+++ b/src/main/kotlin/umberslip/scheduling/Migration.kt
@@ -10,6 +10,7 @@
 internal class Migration(
     private val scheduler: SchedulerState,
 ) {
+    /** Stops the tasks on [machines] that are worth moving, as long as there are places for them. */
     fun migrate(
         machines: List<Machine>,
         now: Duration,
--- a/src/main/kotlin/umberslip/scheduling/RecordLoader.kt
+++ b/src/main/kotlin/umberslip/scheduling/RecordLoader.kt
@@ -23,6 +23,7 @@
     /** By then, every lease that a former leader can have renewed has expired. */
     private val formerLeaseExpiry: Duration,
 ) {
+    /** Loads everything but the jobs. */
     fun load(records: RecordView) {
         loadProgress(records)
         for ((number, record) in records.log().entries.sortedBy { it.value.value.seq }) {
--- a/src/main/kotlin/umberslip/scheduling/RunTimeEstimate.kt
+++ b/src/main/kotlin/umberslip/scheduling/RunTimeEstimate.kt
@@ -17,6 +17,7 @@
     var duration: Duration = seconds.seconds
         private set
 
+    /** A task completed after [runTime]. */
     fun observed(runTime: Duration) {
         val newest = runTime.toDouble(DurationUnit.SECONDS)
         seconds = if (isObserved) seconds * (1 - NEWEST_WEIGHT) + newest * NEWEST_WEIGHT else newest
--- a/src/main/kotlin/umberslip/scheduling/RunningJob.kt
+++ b/src/main/kotlin/umberslip/scheduling/RunningJob.kt
@@ -131,7 +131,7 @@
         updateDeadlines(now)
     }
 
-    /** Takes over from the jobs that depend on it. Its position in the queue may change by this. */
+    /** Sets what it inherits from the jobs that depend on it. Its position in the queue may change by this. */
     fun inherit(
         priority: Priority,
         deadlines: List<Duration>,
@@ -171,6 +171,7 @@
 
     fun isDone(index: Int): Boolean = done.get(index)
 
+    /** The task completed; it is never placed again. */
     fun setDone(index: Int) {
         if (done.get(index)) return
         done.set(index)
@@ -188,6 +189,7 @@
 
     private fun isPlacedOrDone(index: Int): Boolean = done.get(index) || assigned.containsKey(index)
 
+    /** The task is, or may be, on the assignment's machine, and does not wait. */
     fun place(assignment: Assignment) {
         requeued.remove(assignment.index)
         assigned[assignment.index] = assignment
@@ -205,6 +207,7 @@
     /** The progress block that covers a task. */
     fun block(index: Int): ProgressBlock = blockNumber(index / tasksPerBlock)
 
+    /** The progress block with that number, counted from zero. */
     fun blockNumber(number: Int): ProgressBlock {
         val known = blocks[number]
         return known ?: ProgressBlock(this, number).also { blocks[number] = it }
@@ -216,7 +219,7 @@
     /** The highest attempt number that any of its tasks was given. */
     fun highestAttempt(): Long = blocks.maxOfOrNull { it?.lastAttempt ?: 0L } ?: 0L
 
-    /** Takes over a stored progress record; its placements are left to the caller. */
+    /** Applies a stored progress record; its placements are left to the caller. */
     fun load(
         number: Int,
         record: Versioned<ProgressRecord>,
--- a/src/main/kotlin/umberslip/scheduling/SchedulerState.kt
+++ b/src/main/kotlin/umberslip/scheduling/SchedulerState.kt
@@ -315,7 +315,7 @@
 
     // ---- outcomes of writes ----
 
-    /** Takes over that the store has applied [batch]; returns the machines of which starts are now recorded. */
+    /** The store has applied [batch]; returns the machines of which starts are now recorded. */
     fun applied(
         batch: WriteBatch,
         version: Version,
@@ -340,7 +340,7 @@
     }
 
     /**
-     * Takes over what the store shows under a key, after a failed precondition or a write with an indeterminate
+     * Applies what the store shows under a key, after a failed precondition or a write with an indeterminate
      * outcome: its [version] and [data], both null where the key does not exist.
      */
     fun resolve(
--- a/src/main/kotlin/umberslip/scheduling/StarvationGuard.kt
+++ b/src/main/kotlin/umberslip/scheduling/StarvationGuard.kt
@@ -22,6 +22,7 @@
         if (job.waiting > 0) queue.add(job) else queue.remove(job)
     }
 
+    /** The job has ended. */
     fun remove(job: RunningJob) {
         queue.remove(job)
     }
--- a/src/main/kotlin/umberslip/scheduling/TeamQuota.kt
+++ b/src/main/kotlin/umberslip/scheduling/TeamQuota.kt
@@ -19,11 +19,13 @@
     /** The team's weight in the round-robin. Without a guarantee it has that of the smallest unit. */
     val weight: Double = settings.cpus.coerceAtLeast(MIN_WEIGHT)
 
+    /** A task was placed. */
     fun allocate(resources: Resources) {
         usedCpus += resources.cpus
         usedGpus += resources.gpus
     }
 
+    /** A task is off its machine. */
     fun deallocate(resources: Resources) {
         usedCpus -= resources.cpus
         usedGpus -= resources.gpus
--- a/src/main/kotlin/umberslip/scheduling/WorkerContact.kt
+++ b/src/main/kotlin/umberslip/scheduling/WorkerContact.kt
@@ -4,7 +4,7 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** Tells a zone that is cut off, or a leader that is, from machines that are lost. Pure: time is an input. */
+/** Distinguishes a zone or a leader that is cut off from machines that are lost. Pure: time is an input. */
 internal class WorkerContact(
     private val scheduler: SchedulerState,
     private val settings: WorkerSettings,
--- a/src/test/kotlin/umberslip/scheduling/RecordLoaderTest.kt
+++ b/src/test/kotlin/umberslip/scheduling/RecordLoaderTest.kt
@@ -10,7 +10,7 @@
 import kotlin.random.Random
 import kotlin.time.Duration.Companion.seconds
 
-/** What a new leader takes over from the records. */
+/** What a new leader loads from the records. */
 class RecordLoaderTest {
     private val leader = TestScheduler()
 
--- a/src/test/kotlin/umberslip/scheduling/WorkerCommandsTest.kt
+++ b/src/test/kotlin/umberslip/scheduling/WorkerCommandsTest.kt
@@ -56,7 +56,7 @@
 
     @Test
     fun `a task is not started beside its own former attempt`() {
-        // Found by the rules test: the worker refuses it as busy, over and over.
+        // Found by the rules test: the worker refuses it as busy, again and again.
         val job = leader.job { it.copy(tasks = 1) }
         leader.startAll(job)
         val first = job.placedTasks().single()
