--- a/src/main/kotlin/umberslip/daemon/HeartbeatReceiver.kt
+++ b/src/main/kotlin/umberslip/daemon/HeartbeatReceiver.kt
@@ -9,7 +9,7 @@
 import umberslip.http.MalformedMessageException
 import umberslip.http.Request
 import umberslip.http.Response
-import umberslip.leaderElection.LeaderLease
+import umberslip.leadership.LeaderLease
 import umberslip.records.RecordWatcher
 import umberslip.scheduling.Leader
 import umberslip.scheduling.LeaderMessage
--- a/src/main/kotlin/umberslip/provisioning/BootingMachines.kt
+++ b/src/main/kotlin/umberslip/provisioning/BootingMachines.kt
@@ -7,7 +7,7 @@
 import umberslip.http.MalformedMessageException
 import umberslip.http.NoResponseException
 import umberslip.http.ServiceUnavailableException
-import umberslip.leaderElection.LeaderLease
+import umberslip.leadership.LeaderLease
 import umberslip.records.Keys
 import umberslip.scheduling.MachineSnapshot
 import umberslip.settings.Settings
--- a/src/main/kotlin/umberslip/provisioning/ProvisioningRequests.kt
+++ b/src/main/kotlin/umberslip/provisioning/ProvisioningRequests.kt
@@ -4,7 +4,7 @@
 import umberslip.cloud.Cloud
 import umberslip.cloud.Offer
 import umberslip.core.Clock
-import umberslip.leaderElection.LeaderLease
+import umberslip.leadership.LeaderLease
 import umberslip.settings.Settings
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
--- a/src/test/kotlin/umberslip/scheduling/RecordedWritesTest.kt
+++ b/src/test/kotlin/umberslip/scheduling/RecordedWritesTest.kt
@@ -159,6 +159,6 @@
         leader.startAll(long)
         leader.now += 30.seconds
         leader.write()
-        assertTrue(leader.written.any { Keys.asProgress(it.key)?.first == long.spec.id })
+        assertTrue(leader.written.any { Keys.asProgress(it.key)?.job == long.spec.id })
     }
 }
