--- a/src/main/kotlin/umberslip/cli/Check.kt
+++ b/src/main/kotlin/umberslip/cli/Check.kt
@@ -16,7 +16,8 @@
     override fun call(): Int {
         val (settings, _) = load()
         spec.commandLine().out.run {
-            println("${settings.member}: settings are valid (${settings.teams.size} teams, ${settings.zones.size} zones)")
+            val size = "${settings.teams.size} teams, ${settings.zones.size} zones"
+            println("${settings.member}: settings are valid ($size)")
             flush()
         }
         return 0
--- a/src/main/kotlin/umberslip/daemon/Controller.kt
+++ b/src/main/kotlin/umberslip/daemon/Controller.kt
@@ -113,7 +113,10 @@
             metrics,
         )
 
-    private fun writeRateLimiter(share: Double) = RateLimiter(settings.storeLimits.writeRps * share, clock, settings.storeLimits.nextWriteRps * share)
+    private fun writeRateLimiter(share: Double): RateLimiter {
+        val limits = settings.storeLimits
+        return RateLimiter(limits.writeRps * share, clock, limits.nextWriteRps * share)
+    }
 
     fun start() {
         listOf(recordWatcher, jobApi, leader).forEach { it.start() }
--- a/src/main/kotlin/umberslip/daemon/Daemon.kt
+++ b/src/main/kotlin/umberslip/daemon/Daemon.kt
@@ -43,15 +43,18 @@
     private val metrics = PrometheusMeterRegistry(PrometheusConfig.DEFAULT)
     private val origin = TimeSource.Monotonic.markNow()
     private val clock = Clock { origin.elapsedNow() }
-    private val store =
-        HttpKeyValueStore(
-            HttpClient(group, settings.storeAddress, MAX_BODY),
-            RateLimiter(settings.storeLimits.rps / settings.nodes, clock, settings.storeLimits.nextRps / settings.nodes),
-        )
-    private val cloud =
-        HttpCloud(HttpClient(group, settings.cloudAddress, MAX_BODY), RateLimiter(settings.cloudRps * CLOUD_SHARE, clock))
+    private val store = HttpKeyValueStore(HttpClient(group, settings.storeAddress, MAX_BODY), storeRateLimiter())
+    private val cloud = HttpCloud(HttpClient(group, settings.cloudAddress, MAX_BODY), cloudRateLimiter())
     private val peers: Peers =
-        Peers(scope, group, settings.member, settings.known, clock, { controller.refreshRecords() }, { controller.served() })
+        Peers(
+            scope,
+            group,
+            settings.member,
+            settings.known,
+            clock,
+            { controller.refreshRecords() },
+            { controller.served() },
+        )
     private val controller =
         Controller(
             scope,
@@ -68,6 +71,13 @@
             metrics::scrape,
         )
 
+    private fun storeRateLimiter(): RateLimiter {
+        val limits = settings.storeLimits
+        return RateLimiter(limits.rps / settings.nodes, clock, limits.nextRps / settings.nodes)
+    }
+
+    private fun cloudRateLimiter() = RateLimiter(settings.cloudRps * CLOUD_SHARE, clock)
+
     /**
      * Serves until the process ends; blocks the calling thread.
      *
--- a/src/test/kotlin/umberslip/architecture/PackageDependenciesTest.kt
+++ b/src/test/kotlin/umberslip/architecture/PackageDependenciesTest.kt
@@ -25,7 +25,18 @@
             "leadership" to setOf("core", "http", "peers", "records", "settings", "store"),
             "api" to setOf("actor", "cloud", "core", "http", "records", "settings", "store"),
             "scheduling" to
-                setOf("actor", "agents", "cloud", "core", "http", "leadership", "peers", "records", "settings", "store"),
+                setOf(
+                    "actor",
+                    "agents",
+                    "cloud",
+                    "core",
+                    "http",
+                    "leadership",
+                    "peers",
+                    "records",
+                    "settings",
+                    "store",
+                ),
             "recovery" to setOf("agents", "core", "http", "records", "scheduling", "settings", "store"),
             "recovery.archive" to setOf("core", "http", "records", "recovery", "store"),
             "provisioning" to
--- a/src/test/kotlin/umberslip/daemon/ReadinessTest.kt
+++ b/src/test/kotlin/umberslip/daemon/ReadinessTest.kt
@@ -13,7 +13,7 @@
     fun `a controller is ready while it is served, or while nobody is`() {
         assertFalse(readiness.ready(null, 10.seconds, PeerHealth.UNSERVED), "nothing read yet")
         for (peerHealth in PeerHealth.entries) assertTrue(readiness.ready(9.seconds, 10.seconds, peerHealth))
-        assertTrue(readiness.ready(1.seconds, 10.seconds, PeerHealth.UNSERVED), "all would turn unready, and nobody gain")
+        assertTrue(readiness.ready(1.seconds, 10.seconds, PeerHealth.UNSERVED), "all would turn unready at no gain")
         assertFalse(readiness.ready(1.seconds, 10.seconds, PeerHealth.SERVED))
         assertFalse(readiness.ready(1.seconds, 10.seconds, PeerHealth.UNREACHABLE))
         assertTrue(Readiness(isOnlyMember = true).ready(1.seconds, 10.seconds, PeerHealth.UNREACHABLE))
--- a/src/test/kotlin/umberslip/loopback/FullRestartTest.kt
+++ b/src/test/kotlin/umberslip/loopback/FullRestartTest.kt
@@ -30,6 +30,11 @@
         awaitUntil("$ENOUGH_TASKS tasks run") { workers.running() >= ENOUGH_TASKS }
     }
 
+    private fun RestartScenario.awaitCompletedRecovery() =
+        awaitUntil("the recovery completes") {
+            recovery().exitCode == RecoveryStatus.COMPLETED.exitCode
+        }
+
     private fun RestartScenario.awaitJobs() = awaitUntil("every job is done") { jobs.all { status(it) == "done" } }
 
     /** No task ran on two machines, after its end was recorded, or a second time unless it may have. */
@@ -59,13 +64,15 @@
             val atTheRestart = directory.resolve("before.zst")
             scenario.saveRecords(atTheRestart)
             scenario.controllers.startAll()
-            scenario.awaitUntil("the others are adopted") { scenario.recovery().leader()?.long("unheard_machines") == 2L }
+            scenario.awaitUntil("the others are adopted") {
+                scenario.recovery().leader()?.long("unheard_machines") == 2L
+            }
             assertEquals("recovering", scenario.recovery().status)
             scenario.awaitUntil("new work starts") {
                 scenario.workers.events().any { it is WorkerEvent.TaskStarted && it.at > killedAt }
             }
             scenario.workers.pauseHeartbeats(unresponsive, 0.seconds)
-            scenario.awaitUntil("the recovery completes") { scenario.recovery().exitCode == RecoveryStatus.COMPLETED.exitCode }
+            scenario.awaitCompletedRecovery()
             val recovery = scenario.recovery()
             val accounted =
                 listOf("adopted", "end_unrecorded", "not_reported", "not_reported_cancelled").sumOf(recovery::finding)
@@ -108,7 +115,7 @@
             assertTrue(lost.isNotEmpty(), "tasks are lost")
             scenario.cloud.interrupt(interrupted)
             scenario.controllers.startAll()
-            scenario.awaitUntil("the recovery completes") { scenario.recovery().exitCode == RecoveryStatus.COMPLETED.exitCode }
+            scenario.awaitCompletedRecovery()
             scenario.awaitJobs()
             scenario.checkRuns(mayRunAgain = lost)
         }
--- a/src/test/kotlin/umberslip/loopback/LoopbackCloud.kt
+++ b/src/test/kotlin/umberslip/loopback/LoopbackCloud.kt
@@ -91,7 +91,8 @@
 
     private fun list(): CborAnswer {
         val asOf = now() - listLag
-        val listed = instances.values.filter { it.provisionedAt <= asOf && it.terminatedAt.let { gone -> gone == null || gone > asOf } }
+        val listed =
+            instances.values.filter { it.provisionedAt <= asOf && asOf < (it.terminatedAt ?: Duration.INFINITE) }
         val machineNames =
             listed.map {
                 mapOf(
--- a/src/test/kotlin/umberslip/loopback/LoopbackKeyValueStore.kt
+++ b/src/test/kotlin/umberslip/loopback/LoopbackKeyValueStore.kt
@@ -16,7 +16,8 @@
 /** The key-value store's published protocol over real sockets; what it keeps outlives all controllers. */
 class LoopbackKeyValueStore : AutoCloseable {
     private val origin = TimeSource.Monotonic.markNow()
-    private val stored = InMemoryKeyValueStore(ClusterSize(0, pageItems = 500, changesKept = 10_000)) { origin.elapsedNow() }
+    private val size = ClusterSize(0, pageItems = 500, changesKept = 10_000)
+    private val stored = InMemoryKeyValueStore(size) { origin.elapsedNow() }
     private val server = CborServer(::answer)
 
     val address get() = server.address
--- a/src/test/kotlin/umberslip/loopback/RestartMeasurement.kt
+++ b/src/test/kotlin/umberslip/loopback/RestartMeasurement.kt
@@ -42,7 +42,8 @@
     val plan = MeasurementPlan(arguments)
     RestartScenario(plan.size, Files.createTempDirectory("restart"), plan.options).use { scenario ->
         scenario.submitAll()
-        scenario.awaitUntil("nearly all tasks run") { scenario.workers.running() >= plan.jobs * plan.tasksPerJob * 95 / 100 }
+        val nearlyAllTasks = plan.jobs * plan.tasksPerJob * 95 / 100
+        scenario.awaitUntil("nearly all tasks run") { scenario.workers.running() >= nearlyAllTasks }
         printRecordSizes(scenario)
         val names = scenario.workers.names().shuffled(Random(1))
         scenario.controllers.killAll()
@@ -54,7 +55,8 @@
         scenario.controllers.startAll()
         Thread.sleep(110_000)
         val leader = scenario.recovery().leader()
-        println("${names.size} machines, $running tasks ran, down ${plan.downSeconds} s, ${plan.interruptedPercent} % interrupted")
+        println("${names.size} machines, $running tasks ran, down ${plan.downSeconds} s")
+        println("  ${plan.interruptedPercent} % of the machines interrupted")
         println("  options ${plan.options}; leader: ${leader?.raw()}")
         printEvents(scenario.workers.events(), restartedAt)
         println("  provisioned in 110 s: ${scenario.cloud.provisionedAt().size - provisionedBefore}")
@@ -79,7 +81,8 @@
     events: List<WorkerEvent>,
     restartedAt: Duration,
 ) {
-    val commands = events.filterIsInstance<WorkerEvent.CommandReceived>().filter { it.at in restartedAt..restartedAt + 60.seconds }
+    val firstMinute = restartedAt..restartedAt + 60.seconds
+    val commands = events.filterIsInstance<WorkerEvent.CommandReceived>().filter { it.at in firstMinute }
     val starts = events.filterIsInstance<WorkerEvent.TaskStarted>()
     val leasesExpired = events.filterIsInstance<WorkerEvent.LeaseExpired>()
     println("  commands in the first minute: ${commands.groupingBy { it.verb }.eachCount()}")
--- a/src/test/kotlin/umberslip/loopback/RestartScenario.kt
+++ b/src/test/kotlin/umberslip/loopback/RestartScenario.kt
@@ -67,7 +67,12 @@
     lateinit var workers: LoopbackWorkers
         private set
     val cloud: LoopbackCloud =
-        LoopbackCloud(size.machines, size.listLag, { machineName, offer -> workers.boot(machineName, offer) }, { workers.terminate(it) })
+        LoopbackCloud(
+            size.machines,
+            size.listLag,
+            { name, offer -> workers.boot(name, offer) },
+            { workers.terminate(it) },
+        )
     val controllers = ControllerProcesses(CONTROLLERS, directory, arguments, ::settings)
     private val group = MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory())
     private val clients = controllers.addresses.map { HttpClient(group, it, 1 shl 20) }
--- a/src/test/kotlin/umberslip/recovery/GeneratedRestartsTest.kt
+++ b/src/test/kotlin/umberslip/recovery/GeneratedRestartsTest.kt
@@ -38,7 +38,8 @@
             repeat(seconds) {
                 if (random.nextInt(3) == 0) {
                     val job = Fixtures.job(random, number++)
-                    cluster.submit(job.copy(expectedSeconds = job.expectedSeconds * 5, tasks = minOf(job.tasks, 8)), null)
+                    val longer = job.copy(expectedSeconds = job.expectedSeconds * 5, tasks = minOf(job.tasks, 8))
+                    cluster.submit(longer, null)
                 }
                 cluster.run(1.seconds)
             }
@@ -81,7 +82,10 @@
             when (random.nextInt(6)) {
                 0 -> machines.take(machines.size * 2 / 3).forEach(cluster::kill)
                 1 -> machines.take(machines.size / 3).forEach { cluster.hang(it, random.nextInt(3, 30).seconds) }
-                2 -> machines.take(machines.size / 2).forEach { cluster.loseHeartbeats(it, random.nextInt(5, 40).seconds) }
+                2 ->
+                    machines.take(machines.size / 2).forEach {
+                        cluster.loseHeartbeats(it, random.nextInt(5, 40).seconds)
+                    }
                 3 -> machines.take(3).forEach { cluster.reboot(it, forgetsEpoch = random.nextBoolean()) }
                 4 -> cluster.cutZones(random.nextInt(5, 45).seconds)
                 else -> machines.take(3).forEach { cluster.loseResponses(it, random.nextInt(5, 30).seconds) }
--- a/src/test/kotlin/umberslip/sim/ClusterSizeTest.kt
+++ b/src/test/kotlin/umberslip/sim/ClusterSizeTest.kt
@@ -14,10 +14,12 @@
 /** The controllers' own code with as many machines as the largest fleets, through what hurts at that size. */
 class ClusterSizeTest {
     @Test
-    fun `a fleet of six teams outlives mass losses and the end of all controllers`() =
-        play(7, ClusterSize(61, 3, 500, 10_000, instanceTypes(32.0, 64.0)), Fixtures::teamsFleetJson, 6.0) { random, n ->
+    fun `a fleet of six teams outlives mass losses and the end of all controllers`() {
+        val size = ClusterSize(61, 3, 500, 10_000, instanceTypes(32.0, 64.0))
+        play(7, size, Fixtures::teamsFleetJson, 6.0) { random, n ->
             Fixtures.fleetJob(random, n, Fixtures.TEAMS)
         }
+    }
 
     @Test
     fun `a fleet of sixteen hundred machines and seven controllers does so too`() =
@@ -76,14 +78,17 @@
         job: (Random, Int) -> JobSpec,
     ) {
         val random = Random(seed)
-        val cluster = SimulatedCluster(seed, FaultRates(lossy = 0.002, late = 0.002, copied = 0.02), size, settings, { RECOVERY })
+        val faultRates = FaultRates(lossy = 0.002, late = 0.002, copied = 0.02)
+        val cluster = SimulatedCluster(seed, faultRates, size, settings, { RECOVERY })
         repeat(size.members) { cluster.startController(it) }
         var number = 0
         var owed = 60.0
         for (second in 0 until 100) {
             owed += arrivals
             while (owed >= 1) {
-                cluster.submit(job(random, number++), if (random.nextInt(20) == 0) random.nextInt(1, 40).seconds else null)
+                val spec = job(random, number++)
+                val cancelAfter = if (random.nextInt(20) == 0) random.nextInt(1, 40).seconds else null
+                cluster.submit(spec, cancelAfter)
                 owed--
             }
             trouble(cluster, random, second, size)
--- a/src/test/kotlin/umberslip/sim/CombinedFailure.kt
+++ b/src/test/kotlin/umberslip/sim/CombinedFailure.kt
@@ -76,6 +76,9 @@
 
     companion object {
         /** Each failure is played with two seeds. */
-        fun withSeeds(vararg failures: CombinedFailure): List<Array<Any>> = failures.flatMap { failure -> (1..2).map { arrayOf<Any>(failure, it) } }
+        fun withSeeds(vararg failures: CombinedFailure): List<Array<Any>> {
+            val seeds = 1..2
+            return failures.flatMap { failure -> seeds.map { arrayOf<Any>(failure, it) } }
+        }
     }
 }
--- a/src/test/kotlin/umberslip/sim/InMemoryKeyValueStore.kt
+++ b/src/test/kotlin/umberslip/sim/InMemoryKeyValueStore.kt
@@ -83,7 +83,8 @@
     ): TransactionResult {
         val failed = preconditions.filter { (rows[it.key]?.version ?: 0L) != it.version.value }.map { it.key }
         if (failed.isNotEmpty()) return TransactionResult.PreconditionFailed(failed)
-        if (writes.any { it is Write.Put && it.lease != null && it.lease.id !in leases }) return TransactionResult.LeaseExpired
+        val leaseExpired = writes.any { it is Write.Put && it.lease != null && it.lease.id !in leases }
+        if (leaseExpired) return TransactionResult.LeaseExpired
         if (writes.isEmpty()) return TransactionResult.Applied(Version(revision))
         revision++
         for (w in writes) {
--- a/src/test/kotlin/umberslip/sim/LeaderFailuresTest.kt
+++ b/src/test/kotlin/umberslip/sim/LeaderFailuresTest.kt
@@ -16,14 +16,18 @@
 
     companion object {
         private val TEN_LEADERS =
-            CombinedFailure(7, "TEN_LEADERS", play = {
-                repeat(10) {
-                    if (it == 4) cluster.store.out = true
-                    if (it == 7) cluster.store.out = false
-                    restartLeader()
-                    pause(12)
-                }
-            })
+            CombinedFailure(
+                7,
+                "TEN_LEADERS",
+                play = {
+                    repeat(10) {
+                        if (it == 4) cluster.store.out = true
+                        if (it == 7) cluster.store.out = false
+                        restartLeader()
+                        pause(12)
+                    }
+                },
+            )
 
         /** Small jobs whose tasks end far apart, across changes of leader. */
         private val STAGGERED_TASKS =
@@ -41,95 +45,131 @@
             )
 
         private val ALL_CONTROLLERS_DOWN =
-            CombinedFailure(11, "ALL_CONTROLLERS_DOWN", runTimeFactor = 6.0, play = {
-                cancelSome(3)
-                (0..2).forEach(cluster::stopController)
-                pause(14)
-                (0..2).forEach(cluster::startController)
-                pause(10)
-            })
+            CombinedFailure(
+                11,
+                "ALL_CONTROLLERS_DOWN",
+                runTimeFactor = 6.0,
+                play = {
+                    cancelSome(3)
+                    (0..2).forEach(cluster::stopController)
+                    pause(14)
+                    (0..2).forEach(cluster::startController)
+                    pause(10)
+                },
+            )
 
         /** The leader keeps workers and users, and jobs are cancelled through its successor. */
         private val LEADER_ISOLATED =
-            CombinedFailure(12, "LEADER_ISOLATED", runTimeFactor = 6.0, play = {
-                repeat(2) {
-                    cluster.leader()?.let { cluster.isolate(it, 45.seconds) }
-                    pause(2)
-                    cancelSome(6)
-                    pause(8)
-                    cancelSome(4)
-                    pause(45)
-                }
-            })
+            CombinedFailure(
+                12,
+                "LEADER_ISOLATED",
+                runTimeFactor = 6.0,
+                play = {
+                    repeat(2) {
+                        cluster.leader()?.let { cluster.isolate(it, 45.seconds) }
+                        pause(2)
+                        cancelSome(6)
+                        pause(8)
+                        cancelSome(4)
+                        pause(45)
+                    }
+                },
+            )
 
         /** The leader stands still for less or more than its lease and goes on, while jobs are cancelled elsewhere. */
         private val LEADER_FROZEN =
-            CombinedFailure(22, "LEADER_FROZEN", runTimeFactor = 4.0, play = {
-                repeat(5) {
-                    cluster.leader()?.let { cluster.freeze(it, random.nextInt(500, 40_000).milliseconds) }
-                    pause(random.nextInt(1, 6))
-                    cancelSome(3)
-                    pause(random.nextInt(8, 20))
-                }
-            })
+            CombinedFailure(
+                22,
+                "LEADER_FROZEN",
+                runTimeFactor = 4.0,
+                play = {
+                    repeat(5) {
+                        cluster.leader()?.let { cluster.freeze(it, random.nextInt(500, 40_000).milliseconds) }
+                        pause(random.nextInt(1, 6))
+                        cancelSome(3)
+                        pause(random.nextInt(8, 20))
+                    }
+                },
+            )
 
         /** It stands still inside an outage, which keeps its lease, and goes on after its workers' leases are over. */
         private val LEADER_FROZEN_IN_OUTAGE =
-            CombinedFailure(23, "LEADER_FROZEN_IN_OUTAGE", runTimeFactor = 6.0, play = {
-                repeat(3) {
-                    cluster.store.out = random.nextBoolean()
-                    pause(random.nextInt(1, 3))
-                    cluster.leader()?.let { cluster.freeze(it, random.nextInt(8, 25).seconds) }
-                    cluster.store.out = true
-                    cancelSome(3)
-                    pause(random.nextInt(3, 28))
-                    cluster.store.out = false
-                    cancelSome(3)
-                    pause(15)
-                }
-            })
+            CombinedFailure(
+                23,
+                "LEADER_FROZEN_IN_OUTAGE",
+                runTimeFactor = 6.0,
+                play = {
+                    repeat(3) {
+                        cluster.store.out = random.nextBoolean()
+                        pause(random.nextInt(1, 3))
+                        cluster.leader()?.let { cluster.freeze(it, random.nextInt(8, 25).seconds) }
+                        cluster.store.out = true
+                        cancelSome(3)
+                        pause(random.nextInt(3, 28))
+                        cluster.store.out = false
+                        cancelSome(3)
+                        pause(15)
+                    }
+                },
+            )
 
         /** Jobs are cancelled while it stands still; when it goes on the service is out, and its lease holds. */
         private val LEADER_FROZEN_INTO_OUTAGE =
-            CombinedFailure(24, "LEADER_FROZEN_INTO_OUTAGE", runTimeFactor = 8.0, play = {
-                repeat(2) {
-                    cluster.leader()?.let { cluster.freeze(it, 3.seconds) }
-                    cluster.run(200.milliseconds)
-                    cancelSome(8)
-                    cluster.run(random.nextInt(1500, 2600).milliseconds)
-                    cluster.store.out = true
-                    pause(50)
-                    cluster.store.out = false
-                    pause(15)
-                }
-            })
+            CombinedFailure(
+                24,
+                "LEADER_FROZEN_INTO_OUTAGE",
+                runTimeFactor = 8.0,
+                play = {
+                    repeat(2) {
+                        cluster.leader()?.let { cluster.freeze(it, 3.seconds) }
+                        cluster.run(200.milliseconds)
+                        cancelSome(8)
+                        cluster.run(random.nextInt(1500, 2600).milliseconds)
+                        cluster.store.out = true
+                        pause(50)
+                        cluster.store.out = false
+                        pause(15)
+                    }
+                },
+            )
 
         /** One after the other goes on, with what it had read and decided before, beside late writes and heartbeats. */
         private val ALL_FROZEN =
-            CombinedFailure(25, "ALL_FROZEN", FaultRates(lossy = 0.005, late = 0.03, copied = 0.1), runTimeFactor = 4.0, play = {
-                cluster.lateWrites = 0.1
-                repeat(3) {
-                    (0..2).shuffled(random).forEach { i ->
-                        cluster.freeze(i, random.nextInt(5, 30).seconds)
-                        cluster.run(random.nextInt(0, 3000).milliseconds)
+            CombinedFailure(
+                25,
+                "ALL_FROZEN",
+                FaultRates(lossy = 0.005, late = 0.03, copied = 0.1),
+                runTimeFactor = 4.0,
+                play = {
+                    cluster.lateWrites = 0.1
+                    repeat(3) {
+                        (0..2).shuffled(random).forEach { i ->
+                            cluster.freeze(i, random.nextInt(5, 30).seconds)
+                            cluster.run(random.nextInt(0, 3000).milliseconds)
+                        }
+                        cancelSome(4)
+                        pause(32)
                     }
-                    cancelSome(4)
-                    pause(32)
-                }
-            })
+                },
+            )
 
         /** Frozen leaders meet their successors' ends, short freezes the middle of elections. */
         private val FROZEN_IN_ELECTIONS =
-            CombinedFailure(26, "FROZEN_IN_ELECTIONS", runTimeFactor = 3.0, play = {
-                repeat(6) {
-                    cluster.leader()?.let { cluster.freeze(it, random.nextInt(4, 15).seconds) }
-                    pause(random.nextInt(4, 7))
-                    (0..2).random(random).let { cluster.freeze(it, random.nextInt(200, 2500).milliseconds) }
-                    restartLeader()
-                    cancelSome(2)
-                    pause(8)
-                }
-            })
+            CombinedFailure(
+                26,
+                "FROZEN_IN_ELECTIONS",
+                runTimeFactor = 3.0,
+                play = {
+                    repeat(6) {
+                        cluster.leader()?.let { cluster.freeze(it, random.nextInt(4, 15).seconds) }
+                        pause(random.nextInt(4, 7))
+                        (0..2).random(random).let { cluster.freeze(it, random.nextInt(200, 2500).milliseconds) }
+                        restartLeader()
+                        cancelSome(2)
+                        pause(8)
+                    }
+                },
+            )
 
         @JvmStatic
         fun failures(): List<Array<Any>> =
--- a/src/test/kotlin/umberslip/sim/MachineFailuresTest.kt
+++ b/src/test/kotlin/umberslip/sim/MachineFailuresTest.kt
@@ -16,13 +16,18 @@
 
     companion object {
         private val LATE_HEARTBEATS =
-            CombinedFailure(6, "LATE_HEARTBEATS", FaultRates(lossy = 0.005, late = 0.08, copied = 0.3), play = {
-                repeat(4) {
-                    restartLeader()
-                    pause(12)
-                    cluster.upMachines().randomOrNull(random)?.let { cluster.reboot(it, forgetsEpoch = false) }
-                }
-            })
+            CombinedFailure(
+                6,
+                "LATE_HEARTBEATS",
+                FaultRates(lossy = 0.005, late = 0.08, copied = 0.3),
+                play = {
+                    repeat(4) {
+                        restartLeader()
+                        pause(12)
+                        cluster.upMachines().randomOrNull(random)?.let { cluster.reboot(it, forgetsEpoch = false) }
+                    }
+                },
+            )
 
         private val ONE_ZONE_LOST =
             CombinedFailure(
@@ -43,51 +48,72 @@
 
         /** The leader ends while machines with long tasks don't hear its successor. */
         private val RESPONSES_LOST_AT_FAILOVER =
-            CombinedFailure(13, "RESPONSES_LOST_AT_FAILOVER", runTimeFactor = 8.0, play = {
-                cluster
-                    .upMachines()
-                    .shuffled(random)
-                    .take(3)
-                    .forEach { cluster.loseResponses(it, 40.seconds) }
-                restartLeader()
-                pause(4)
-                cancelSome(4)
-                pause(45)
-            })
+            CombinedFailure(
+                13,
+                "RESPONSES_LOST_AT_FAILOVER",
+                runTimeFactor = 8.0,
+                play = {
+                    cluster
+                        .upMachines()
+                        .shuffled(random)
+                        .take(3)
+                        .forEach { cluster.loseResponses(it, 40.seconds) }
+                    restartLeader()
+                    pause(4)
+                    cancelSome(4)
+                    pause(45)
+                },
+            )
 
         /** A team at its limit, a new leader, machines that can't be asked, and cancellations. */
         private val QUOTA_LIMIT_AND_LOST_CONTACT =
-            CombinedFailure(14, "QUOTA_LIMIT_AND_LOST_CONTACT", runTimeFactor = 8.0, adaptJob = { job, _ -> job.copy(team = "blue") }, play = {
-                repeat(2) {
-                    val silent = cluster.upMachines().shuffled(random)
-                    silent.take(2).forEach { cluster.loseHeartbeats(it, 30.seconds) }
-                    silent.drop(2).take(1).forEach { cluster.hang(it, 9.seconds) }
-                    cancelSome(5)
-                    restartLeader()
-                    pause(20)
-                }
-            })
+            CombinedFailure(
+                14,
+                "QUOTA_LIMIT_AND_LOST_CONTACT",
+                runTimeFactor = 8.0,
+                adaptJob = { job, _ -> job.copy(team = "blue") },
+                play = {
+                    repeat(2) {
+                        val silent = cluster.upMachines().shuffled(random)
+                        silent.take(2).forEach { cluster.loseHeartbeats(it, 30.seconds) }
+                        silent.drop(2).take(1).forEach { cluster.hang(it, 9.seconds) }
+                        cancelSome(5)
+                        restartLeader()
+                        pause(20)
+                    }
+                },
+            )
 
         private val ZONE_CUT =
-            CombinedFailure(15, "ZONE_CUT", runTimeFactor = 6.0, play = {
-                cluster.cutZones(40.seconds)
-                pause(10)
-                cancelSome(4)
-                restartLeader()
-                pause(40)
-            })
+            CombinedFailure(
+                15,
+                "ZONE_CUT",
+                runTimeFactor = 6.0,
+                play = {
+                    cluster.cutZones(40.seconds)
+                    pause(10)
+                    cancelSome(4)
+                    restartLeader()
+                    pause(40)
+                },
+            )
 
         private val HEARTBEATS_LOST =
-            CombinedFailure(16, "HEARTBEATS_LOST", runTimeFactor = 6.0, play = {
-                cluster
-                    .upMachines()
-                    .shuffled(random)
-                    .let { it.take((it.size + 1) / 2) }
-                    .forEach { cluster.loseHeartbeats(it, 25.seconds) }
-                pause(3)
-                cancelSome(5)
-                pause(40)
-            })
+            CombinedFailure(
+                16,
+                "HEARTBEATS_LOST",
+                runTimeFactor = 6.0,
+                play = {
+                    cluster
+                        .upMachines()
+                        .shuffled(random)
+                        .let { it.take((it.size + 1) / 2) }
+                        .forEach { cluster.loseHeartbeats(it, 25.seconds) }
+                    pause(3)
+                    cancelSome(5)
+                    pause(40)
+                },
+            )
 
         @JvmStatic
         fun failures(): List<Array<Any>> =
--- a/src/test/kotlin/umberslip/sim/ProtocolRules.kt
+++ b/src/test/kotlin/umberslip/sim/ProtocolRules.kt
@@ -58,7 +58,10 @@
     fun cancellationRequested(id: String): Boolean = cancellationRequested.add(id)
 
     /** Accepted jobs that have not ended, of those that nobody cancelled. */
-    fun openJobs(): List<String> = accepted.filter { it !in answeredDone && it !in answeredCancelled && it !in cancellationRequested }
+    fun openJobs(): List<String> {
+        val unfinished = accepted.filter { it !in answeredDone && it !in answeredCancelled }
+        return unfinished.filter { it !in cancellationRequested }
+    }
 
     /** Accepted jobs that have tasks on machines, of those that nobody cancelled. */
     fun runningJobs(): List<String> =
@@ -178,7 +181,10 @@
         }
     }
 
-    private fun isLeaseValid(machine: SimulatedMachine): Boolean = simulation.now() - machine.leaseRenewedAt <= simulation.workerLease
+    private fun isLeaseValid(machine: SimulatedMachine): Boolean {
+        val age = simulation.now() - machine.leaseRenewedAt
+        return age <= simulation.workerLease
+    }
 
     // ---- answers to users ----
 
@@ -281,7 +287,10 @@
         return machines.firstOrNull { isUsable(it) && isAllowed(spec, it, zones) && hasSpace(spec, it) }
     }
 
-    private fun isUsable(machine: SimulatedMachine): Boolean = !machine.isTerminated && !machine.isFaulty && machine.upAt <= simulation.now()
+    private fun isUsable(machine: SimulatedMachine): Boolean {
+        val isUp = !machine.isTerminated && machine.upAt <= simulation.now()
+        return isUp && !machine.isFaulty
+    }
 
     private fun isAllowed(
         spec: JobSpec,
--- a/src/test/kotlin/umberslip/sim/RulesTest.kt
+++ b/src/test/kotlin/umberslip/sim/RulesTest.kt
@@ -81,7 +81,8 @@
         cluster.end()
         assertEquals(emptyList<String>(), cluster.violations.take(5))
         assertTrue(cluster.starts > 20, "only ${cluster.starts} tasks started")
-        assertEquals(cluster.acceptedJobs, cluster.finishedJobs + cluster.cancelledJobs, "jobs that ended; ${cluster.describe()}")
+        val ended = cluster.finishedJobs + cluster.cancelledJobs
+        assertEquals(cluster.acceptedJobs, ended, "jobs that ended; ${cluster.describe()}")
     }
 
     private fun zoneCuts(
--- a/src/test/kotlin/umberslip/sim/SimulatedControllers.kt
+++ b/src/test/kotlin/umberslip/sim/SimulatedControllers.kt
@@ -109,7 +109,10 @@
     }
 
     /** Whether it is frozen for longer than others wait for the answer to a ping. */
-    private fun isUnresponsive(member: Int): Boolean = isFrozen(member) && simulation.now() - (frozenSince[member] ?: simulation.now()) > PEER_TIMEOUT
+    private fun isUnresponsive(member: Int): Boolean {
+        val since = frozenSince[member] ?: return false
+        return isFrozen(member) && simulation.now() - since > PEER_TIMEOUT
+    }
 
     private fun announce(from: Int) {
         members.indices.forEach { if (it != from && reaches(from, it)) controllers[it]?.refreshRecords() }
--- a/src/test/kotlin/umberslip/sim/SimulatedWorkers.kt
+++ b/src/test/kotlin/umberslip/sim/SimulatedWorkers.kt
@@ -47,7 +47,10 @@
 
     fun countOf(offer: Offer): Int = machines.values.count { !it.isTerminated && it.offer == offer }
 
-    fun existingAt(time: Duration): List<SimulatedMachine> = machines.values.filter { it.provisionedAt <= time && time < it.terminatedAt }
+    fun existingAt(time: Duration): List<SimulatedMachine> {
+        val provisioned = machines.values.filter { it.provisionedAt <= time }
+        return provisioned.filter { time < it.terminatedAt }
+    }
 
     fun boot(offer: Offer): MachineName {
         val now = simulation.now()
@@ -260,7 +263,10 @@
         }
     }
 
-    private fun transitMillis(): Long = if (random.nextInt(20) == 0) random.nextLong(100, 3000) else random.nextLong(1, 40)
+    private fun transitMillis(): Long {
+        val isSlow = random.nextInt(20) == 0
+        return if (isSlow) random.nextLong(100, 3000) else random.nextLong(1, 40)
+    }
 
     // ---- commands ----
 
