--- a/src/main/kotlin/umberslip/api/JobStatus.kt
+++ b/src/main/kotlin/umberslip/api/JobStatus.kt
@@ -33,6 +33,7 @@
     private const val DONE = "done"
     private const val CANCELLED = "aborted"
 
+    /** The response to a status request, to a cancellation, and to the submission of a job accepted before. */
     fun status(
         id: JobId,
         status: JobStatus,
--- a/src/main/kotlin/umberslip/api/OutcomeCache.kt
+++ b/src/main/kotlin/umberslip/api/OutcomeCache.kt
@@ -18,8 +18,10 @@
             .executor(Runnable::run)
             .build()
 
+    /** The job's outcome if it was read or written here lately; needs no request. */
     fun cached(id: JobId): OutcomeRecord? = outcomes.getIfPresent(id)
 
+    /** Adds an outcome that is final. */
     fun add(
         id: JobId,
         outcome: OutcomeRecord,
--- a/src/main/kotlin/umberslip/api/SubmissionQueue.kt
+++ b/src/main/kotlin/umberslip/api/SubmissionQueue.kt
@@ -31,6 +31,7 @@
 ) {
     private val submissions = ArrayDeque<PendingSubmission>()
 
+    /** Whether no more submissions should be added for now. */
     val isFull: Boolean get() = submissions.size >= MAX_SUBMISSIONS
 
     fun add(submission: PendingSubmission) = submissions.addLast(submission)
--- a/src/main/kotlin/umberslip/core/Term.kt
+++ b/src/main/kotlin/umberslip/core/Term.kt
@@ -7,6 +7,7 @@
 ) : Comparable<Term> {
     override fun compareTo(other: Term): Int = value.compareTo(other.value)
 
+    /** The term of the next election. */
     fun next(): Term = Term(value + 1)
 
     companion object {
--- a/src/main/kotlin/umberslip/http/Documents.kt
+++ b/src/main/kotlin/umberslip/http/Documents.kt
@@ -19,8 +19,10 @@
     /** Most documents fit, so the buffer seldom grows. */
     private const val BUFFER_BYTES = 256
 
+    /** The document as plain maps and lists; whole numbers are [Long] where they fit. */
     fun readCbor(bytes: ByteArray): Any? = readCbor(bytes) { it.value() }
 
+    /** As [readCbor]. */
     fun readJson(text: String): Any? = read({ json.createParser(text) }) { it.value() }
 
     /** Reads a document with a [DocumentReader], for what is read too often to become maps first. */
@@ -29,12 +31,14 @@
         with: (DocumentReader) -> T,
     ): T = read({ cbor.createParser(bytes) }, with)
 
+    /** Writes maps with text as keys, lists, texts, numbers, truth values and null. */
     fun writeCbor(value: Any?): ByteArray {
         val out = ByteArrayOutputStream(BUFFER_BYTES)
         cbor.createGenerator(out).use { write(it, value) }
         return out.toByteArray()
     }
 
+    /** As [writeCbor]. */
     fun writeJson(value: Any?): String = jsonBytes(value).toString(Charsets.UTF_8)
 
     /** The size that the protocol's limits count: the bytes of the JSON form. */
--- a/src/main/kotlin/umberslip/http/Fields.kt
+++ b/src/main/kotlin/umberslip/http/Fields.kt
@@ -16,6 +16,7 @@
 
     fun textOrNull(name: String): String? = map[name]?.let { it as? String ?: wrongType(name, "text") }
 
+    /** A whole number that fits into 64 bits. */
     fun long(name: String): Long = longOrNull(name) ?: missing(name)
 
     fun longOrNull(name: String): Long? =
@@ -25,6 +26,7 @@
             else -> wrongType(name, "a whole number")
         }
 
+    /** A finite number. */
     fun number(name: String): Double = numberOrNull(name) ?: missing(name)
 
     fun numberOrNull(name: String): Double? =
@@ -40,12 +42,14 @@
 
     fun flagOrNull(name: String): Boolean? = map[name]?.let { it as? Boolean ?: wrongType(name, "true or false") }
 
+    /** The fields of a map within this one. */
     fun map(name: String): Fields = (map[name] ?: missing(name)).let { of(it, path(name)) }
 
     fun list(name: String): List<*> = listOrNull(name) ?: missing(name)
 
     fun listOrNull(name: String): List<*>? = map[name]?.let { it as? List<*> ?: wrongType(name, "a list") }
 
+    /** The fields of each map in a list. */
     fun maps(name: String): List<Fields> = list(name).mapIndexed { i, item -> of(item, "${path(name)}[$i]") }
 
     fun mapsOrEmpty(name: String): List<Fields> = if (has(name)) maps(name) else emptyList()
--- a/src/main/kotlin/umberslip/http/HttpServer.kt
+++ b/src/main/kotlin/umberslip/http/HttpServer.kt
@@ -43,6 +43,7 @@
     private val idleConnections = LinkedHashSet<Channel>()
     private var openConnections = 0
 
+    /** Listens at [address] from when this returns. */
     fun bind(address: InetSocketAddress): Channel =
         ServerBootstrap()
             .group(group)
--- a/src/main/kotlin/umberslip/http/RequestHandling.kt
+++ b/src/main/kotlin/umberslip/http/RequestHandling.kt
@@ -44,6 +44,7 @@
 
 /** Responds to a request, at once or later, exactly once, on the event loop. */
 fun interface Handler {
+    /** May throw [MalformedMessageException], which becomes status 400, before it responded. */
     fun handle(
         request: Request,
         respond: (Response) -> Unit,
--- a/src/main/kotlin/umberslip/records/BootingMachinesRecord.kt
+++ b/src/main/kotlin/umberslip/records/BootingMachinesRecord.kt
@@ -17,6 +17,7 @@
 data class BootingMachinesRecord(
     val machines: List<RecordedBootingMachine>,
 ) {
+    /** The record as it is stored. */
     fun toMap(): Map<String, Any?> =
         mapOf(
             MACHINES to
--- a/src/main/kotlin/umberslip/records/JobSpecCodec.kt
+++ b/src/main/kotlin/umberslip/records/JobSpecCodec.kt
@@ -71,6 +71,7 @@
 
 /** Reads job specifications, from submissions and from stored records. */
 object JobSpecCodec {
+    /** The protocol's limit. */
     const val MAX_TASKS = 100_000L
 
     /** No amount or time makes sense beyond it: thirty years of seconds. */
--- a/src/main/kotlin/umberslip/records/Keys.kt
+++ b/src/main/kotlin/umberslip/records/Keys.kt
@@ -10,6 +10,7 @@
  * for ever and read one by one.
  */
 object Keys {
+    /** The prefix of all replicated records. */
     const val ROOT = "u/"
 
     /** The [LeaderRecord]; bound to the leader's lease, so that it disappears when that expires. */
@@ -47,6 +48,7 @@
     /** The key of an [OutcomeRecord]. */
     fun outcome(id: JobId): String = OUTCOME + id.value
 
+    /** Whether [key] is one of [renewedByFollower]. */
     fun isFollowerRenewals(key: String): Boolean = key.startsWith(FOLLOWER_RENEWALS)
 
     /** The slot whose log entry lies at [key]; null for other keys. */
--- a/src/main/kotlin/umberslip/records/LeaderRecord.kt
+++ b/src/main/kotlin/umberslip/records/LeaderRecord.kt
@@ -10,6 +10,7 @@
     val term: Term,
     val lease: StoreLease,
 ) {
+    /** The record as it is stored. */
     fun toMap(): Map<String, Any?> = mapOf(MEMBER to member, TERM to term.value, LEASE to lease.id)
 
     companion object {
--- a/src/main/kotlin/umberslip/records/LogRecord.kt
+++ b/src/main/kotlin/umberslip/records/LogRecord.kt
@@ -7,6 +7,7 @@
 
 /** A recorded exit: the task finished on its machine ([done]), or is certainly not there any more. */
 data class LoggedExit(
+    /** The task's index in its job. */
     val index: Int,
     val attempt: Long,
     val done: Boolean,
@@ -23,9 +24,11 @@
  * It counts for a progress block until the block's [ProgressRecord], which is written later, has reached its [seq].
  */
 data class LogRecord(
+    /** The entry's place in the log; rises with every entry, also across terms. */
     val seq: Long,
     val rows: Map<JobId, LogRow>,
 ) {
+    /** The record as it is stored. */
     fun toMap(): Map<String, Any?> =
         mapOf(
             SEQ to seq,
--- a/src/main/kotlin/umberslip/records/MachineSetRecord.kt
+++ b/src/main/kotlin/umberslip/records/MachineSetRecord.kt
@@ -10,6 +10,7 @@
 data class MachineSetRecord(
     val machineNames: Set<MachineName>,
 ) {
+    /** The record as it is stored. */
     fun toMap(): Map<String, Any?> = mapOf(MACHINES to machineNames.map { it.value })
 
     companion object {
--- a/src/main/kotlin/umberslip/records/OutcomeRecord.kt
+++ b/src/main/kotlin/umberslip/records/OutcomeRecord.kt
@@ -14,6 +14,7 @@
     val end: JobOutcome,
     val tasks: Int,
 ) {
+    /** The record as it is stored. */
     fun toMap(): Map<String, Any?> = mapOf(OUTCOME to OUTCOME_NAMES.getValue(end), TASKS to tasks)
 
     companion object {
--- a/src/main/kotlin/umberslip/records/ProgressRecord.kt
+++ b/src/main/kotlin/umberslip/records/ProgressRecord.kt
@@ -7,7 +7,9 @@
 
 /** A recorded start: the task may be on that machine until its exit is recorded. */
 data class Placement(
+    /** The task's index in its job. */
     val index: Int,
+    /** Rises with every start of the task. */
     val attempt: Long,
     val machineName: MachineName,
 )
@@ -17,9 +19,11 @@
  * highest attempt number ever used there, so that attempt numbers only rise. The log entries up to [seq] are included.
  */
 data class ProgressRecord(
+    /** Bit 0 stands for the block's first task. */
     val done: BitSet,
     val placed: List<Placement>,
     val lastAttempt: Long,
+    /** The place in the log of the last entry that is included. */
     val seq: Long,
 ) {
     /** An upper bound of the record's size in its JSON form, which is what the limit of values counts. */
@@ -30,6 +34,7 @@
             return FIXED_BYTES / 2 + doneBytes + placedBytes
         }
 
+    /** The record as it is stored. */
     fun toMap(): Map<String, Any?> =
         mapOf(
             SEQ to seq,
--- a/src/main/kotlin/umberslip/records/RecordView.kt
+++ b/src/main/kotlin/umberslip/records/RecordView.kt
@@ -26,8 +26,10 @@
     /** The machines whose leases only the leader may renew. */
     val revokedRenewals: Versioned<MachineSetRecord>?
 
+    /** The record of an unfinished job; null for others. */
     fun job(id: JobId): Versioned<JobRecord>?
 
+    /** The records of all unfinished jobs. */
     fun jobs(): Map<JobId, Versioned<JobRecord>>
 
     /** The progress records of each job by block. */
--- a/src/main/kotlin/umberslip/records/RecordWatcher.kt
+++ b/src/main/kotlin/umberslip/records/RecordWatcher.kt
@@ -33,6 +33,7 @@
 
 /** Receives the events of each confirmed read; called on the actors' thread. */
 fun interface RecordListener {
+    /** The replica shows [events] and everything else that was written before [readBegan]. */
     fun changed(
         events: List<RecordEvent>,
         readBegan: Duration,
--- a/src/main/kotlin/umberslip/records/TermRecord.kt
+++ b/src/main/kotlin/umberslip/records/TermRecord.kt
@@ -7,6 +7,7 @@
 data class TermRecord(
     val term: Term,
 ) {
+    /** The record as it is stored. */
     fun toMap(): Map<String, Any?> = mapOf(TERM to term.value)
 
     companion object {
--- a/src/main/kotlin/umberslip/settings/Settings.kt
+++ b/src/main/kotlin/umberslip/settings/Settings.kt
@@ -11,6 +11,7 @@
 /** Another controller, and where it listens for its peers. */
 data class Peer(
     val member: String,
+    /** The zone that it runs in. */
     val area: String,
     val address: InetSocketAddress,
 )
@@ -78,6 +79,7 @@
     val valueBytes: Int,
     /** The most puts and deletes of a transaction. */
     val transactionOps: Int,
+    /** The announced [rps], or the one in force where that is lower; the same holds for [nextWriteRps]. */
     val nextRps: Double = rps,
     val nextWriteRps: Double = writeRps,
     /**
--- a/src/main/kotlin/umberslip/settings/TuningParser.kt
+++ b/src/main/kotlin/umberslip/settings/TuningParser.kt
@@ -22,6 +22,7 @@
     RETURN_MISSING("recovery", "return_missing"),
     ;
 
+    /** As it is written in messages, and as the TOML library looks it up. */
     val path: String get() = "$section.$key"
 }
 
--- a/src/main/kotlin/umberslip/store/KeyValueStoreProtocol.kt
+++ b/src/main/kotlin/umberslip/store/KeyValueStoreProtocol.kt
@@ -33,8 +33,10 @@
     const val ERROR = "error"
     const val NO_SUCH_LEASE = "no such lease"
 
+    /** An item of [ENTRIES], or the whole response to a request for one key. */
     fun entry(fields: Fields): Entry = Entry(fields.text(KEY), fields.raw()[DATA], version(fields))
 
+    /** An item of [EVENTS]. */
     fun change(fields: Fields): Change {
         val version = version(fields)
         val put = fields.textOrNull(PUT) ?: return Change.Drop(fields.text(DROP), version)
@@ -43,11 +45,13 @@
 
     private fun version(fields: Fields) = Version(fields.long(VERSION))
 
+    /** An item of [PRECONDITIONS]. */
     fun precondition(precondition: Precondition): Map<String, Any?> {
         val version = precondition.version.value
         return mapOf(KEY to precondition.key, VERSION to version)
     }
 
+    /** An item of [WRITES]. */
     fun write(write: Write): Map<String, Any?> =
         when (write) {
             is Write.Drop -> mapOf(DROP to write.key)
