--- a/src/main/kotlin/umberslip/settings/SettingsParser.kt
+++ b/src/main/kotlin/umberslip/settings/SettingsParser.kt
@@ -9,7 +9,7 @@
 import kotlin.time.Duration.Companion.seconds
 
 /** The keys of the platform's settings file. */
-private object SettingsKey {
+internal object SettingsKey {
     const val MEMBER = "member"
     const val AREA = "area"
     const val BIND = "bind"
@@ -36,6 +36,10 @@
     const val GANG_PEER_SECONDS = "gang_peer_s"
     const val CANCEL_SECONDS = "cancel_s"
 
+    // Where two settings are in the file, for messages about both.
+    const val LEASE_PATH = "$SETTINGS.$WORKERS.$LEASE_SECONDS"
+    const val CANCEL_PATH = "$SETTINGS.$WORKERS.$CANCEL_SECONDS"
+
     const val RPS = "rps"
     const val WRITE_RPS = "write_rps"
     const val VALUE_KB = "value_kb"
--- a/src/main/kotlin/umberslip/settings/Timings.kt
+++ b/src/main/kotlin/umberslip/settings/Timings.kt
@@ -30,7 +30,7 @@
         if (grace < Duration.ZERO) {
             throw InvalidSettingsException(
                 "$leaderLeaseKey is too long: " +
-                    "with settings.workers.lease_s it must fit into settings.workers.cancel_s",
+                    "with ${SettingsKey.LEASE_PATH} it must fit into ${SettingsKey.CANCEL_PATH}",
             )
         }
         if (leaderLeaseDuration < margin * 2) {
