--- a/src/main/kotlin/umberslip/agents/WorkerCommand.kt
+++ b/src/main/kotlin/umberslip/agents/WorkerCommand.kt
@@ -6,6 +6,8 @@
 /** A command to a worker. The same command may be given again until a heartbeat shows that it was carried out. */
 sealed interface WorkerCommand {
     val task: TaskId
+
+    /** Tells one start of the task from another. */
     val attempt: Long
 
     /** The command as the protocol has it. */
--- a/src/main/kotlin/umberslip/cloud/CloudProtocol.kt
+++ b/src/main/kotlin/umberslip/cloud/CloudProtocol.kt
@@ -39,6 +39,7 @@
     const val ERROR = "error"
     const val NO_CAPACITY = "no capacity"
 
+    /** A status that is not known counts as running. */
     fun machineStatus(name: String): MachineStatus =
         when (name) {
             "booting" -> MachineStatus.BOOTING
--- a/src/main/kotlin/umberslip/provisioning/BootingMachines.kt
+++ b/src/main/kotlin/umberslip/provisioning/BootingMachines.kt
@@ -43,6 +43,7 @@
 
     operator fun contains(name: MachineName): Boolean = name in machines
 
+    /** Adds a machine, or replaces the one of its name. */
     fun add(machine: BootingMachine) {
         machines[machine.name] = machine
     }
@@ -55,6 +56,7 @@
         machines.values.removeAll(condition)
     }
 
+    /** Removes machines that have sent a heartbeat: they are the scheduler's from then on. */
     fun removeInContact(snapshot: List<MachineSnapshot>) {
         for (machine in snapshot) if (machine.sinceContact != null) machines.remove(machine.name)
     }
@@ -75,6 +77,7 @@
         }
     }
 
+    /** [persist], if the names have changed since and the last write is some seconds ago. */
     suspend fun persistIfChanged(now: Duration) {
         if (machines.keys != persisted && now - persistedAt > PERSIST_INTERVAL) persist()
     }
--- a/src/main/kotlin/umberslip/provisioning/CloudReconciliation.kt
+++ b/src/main/kotlin/umberslip/provisioning/CloudReconciliation.kt
@@ -35,6 +35,7 @@
         listedAt = null
     }
 
+    /** Reads and reconciles the list if the last one is some seconds old. Fails as [Cloud.listMachines] does. */
     suspend fun reconcileIfDue(
         snapshot: ClusterSnapshot,
         now: Duration,
--- a/src/main/kotlin/umberslip/provisioning/IdleMachines.kt
+++ b/src/main/kotlin/umberslip/provisioning/IdleMachines.kt
@@ -16,8 +16,10 @@
 ) {
     private val idleSince = HashMap<MachineName, Duration>()
 
+    /** Begins a leader's term. */
     fun clear() = idleSince.clear()
 
+    /** Takes over the [surplus] of a new plan. */
     fun update(
         surplus: Set<MachineName>,
         now: Duration,
--- a/src/main/kotlin/umberslip/provisioning/MachineTermination.kt
+++ b/src/main/kotlin/umberslip/provisioning/MachineTermination.kt
@@ -19,6 +19,7 @@
     private val pending = LinkedHashSet<MachineName>()
     private val terminated = HashSet<MachineName>()
 
+    /** Begins a leader's term: what is still to be terminated shows again in the cloud's list. */
     fun clear() {
         pending.clear()
         terminated.clear()
--- a/src/main/kotlin/umberslip/provisioning/Provisioner.kt
+++ b/src/main/kotlin/umberslip/provisioning/Provisioner.kt
@@ -76,6 +76,7 @@
      */
     private val firstContactTime = settings.workers.heartbeatInterval * 2 + 2.seconds
 
+    /** Runs rounds until [scope] ends; a round in which this controller does not lead does nothing. */
     fun start(): Job =
         scope.launch {
             while (true) {
--- a/src/main/kotlin/umberslip/provisioning/ProvisioningRequests.kt
+++ b/src/main/kotlin/umberslip/provisioning/ProvisioningRequests.kt
@@ -38,6 +38,7 @@
         requestsOfTerm = 0
     }
 
+    /** Whether [offer] lately had less capacity than was requested. */
     fun isBackedOff(
         offer: Offer,
         now: Duration,
--- a/src/main/kotlin/umberslip/provisioning/Supply.kt
+++ b/src/main/kotlin/umberslip/provisioning/Supply.kt
@@ -25,6 +25,7 @@
     var hasPendingWork = false
         private set
 
+    /** Plans pending work that blocks [cpus] for this machine. */
     fun take(cpus: Double) {
         freeCpus -= cpus
         isUsed = true
@@ -36,6 +37,7 @@
 internal class Prices(
     private val instanceTypes: Map<String, InstanceType>,
 ) {
+    /** The price of a processor for an hour. */
     fun perCpu(offer: Offer): Double {
         val instanceType = instanceTypes[offer.type] ?: return Double.MAX_VALUE
         val price = if (offer.spot) instanceType.spotPrice else instanceType.price
@@ -55,6 +57,7 @@
     /** Processors that the tasks on a machine keep busy over the drain time. */
     val busyCpus = HashMap<MachineName, Double>()
 
+    /** Adds the machines that can take work. */
     fun add(
         snapshot: ClusterSnapshot,
         booting: List<BootingMachine>,
--- a/src/main/kotlin/umberslip/provisioning/Surplus.kt
+++ b/src/main/kotlin/umberslip/provisioning/Surplus.kt
@@ -10,6 +10,9 @@
 internal class Surplus(
     private val demand: DemandModel,
 ) {
+    /**
+     * The surplus of a plan that has put [waiting] on [supply]; [busyCpus] are the processors in use on each machine.
+     */
     fun of(
         supply: List<Supply>,
         busyCpus: Map<MachineName, Double>,
--- a/src/main/kotlin/umberslip/provisioning/UnresponsiveMachines.kt
+++ b/src/main/kotlin/umberslip/provisioning/UnresponsiveMachines.kt
@@ -18,6 +18,7 @@
     private val timeout = workers.lease * LEASE_SHARE
     private val inContactWithin = workers.heartbeatInterval * HEARTBEATS_MISSED
 
+    /** The unresponsive ones of all [machines] that the leader knows. */
     fun of(machines: List<MachineSnapshot>): List<MachineName> {
         val zones = machines.groupBy { it.offer.zone }.mapValues { (_, inZone) -> Zone(inZone) }
         val mostInContact = mostInContact(machines)
--- a/src/main/kotlin/umberslip/recovery/ControllerAnswer.kt
+++ b/src/main/kotlin/umberslip/recovery/ControllerAnswer.kt
@@ -10,6 +10,7 @@
         val snapshot: RecoverySnapshot,
     ) : ControllerAnswer
 
+    /** It tracks recovery and does not lead. */
     data class NotLeader(
         override val address: String,
     ) : ControllerAnswer
@@ -19,6 +20,7 @@
         override val address: String,
     ) : ControllerAnswer
 
+    /** It could not be asked, or did not answer as a controller does. */
     data class Unreachable(
         override val address: String,
         val reason: String,
--- a/src/main/kotlin/umberslip/recovery/RecordedWork.kt
+++ b/src/main/kotlin/umberslip/recovery/RecordedWork.kt
@@ -38,8 +38,10 @@
     /** Keys that are left alone since their records are unreadable. */
     val unreadable: Set<String>,
 ) {
+    /** Jobs that are still to be run, or running. */
     val unfinishedJobs: Int get() = jobs.size - cancelled.size
 
+    /** How many machines have recorded tasks. */
     val machinesWithTasks: Int get() = starts.values.mapTo(HashSet()) { it.machineName }.size
 
     /** In lines, for people; operators' scripts may read them, too. */
--- a/src/main/kotlin/umberslip/recovery/RecoveryMetrics.kt
+++ b/src/main/kotlin/umberslip/recovery/RecoveryMetrics.kt
@@ -14,6 +14,7 @@
     private val metrics: MeterRegistry,
     private val current: () -> RecoverySnapshot?,
 ) {
+    /** Registers the gauges, once. They read [current] whenever the metrics are scraped. */
     fun register() {
         gauge(TERM) { it.term.value.toDouble() }
         gauge(PHASE) { it.phase.ordinal.toDouble() }
--- a/src/main/kotlin/umberslip/recovery/RecoveryReport.kt
+++ b/src/main/kotlin/umberslip/recovery/RecoveryReport.kt
@@ -27,10 +27,12 @@
 
 /** The records as read, or why they could not be. */
 sealed interface RecordsAnswer {
+    /** They were read, as a new leader would load them. */
     data class Read(
         val work: RecordedWork,
     ) : RecordsAnswer
 
+    /** The key-value store did not serve them. */
     data class Unreadable(
         val reason: String,
     ) : RecordsAnswer
@@ -41,6 +43,7 @@
     val records: RecordsAnswer,
     val controllers: List<ControllerAnswer>,
 ) {
+    /** What follows from the answer with the highest term. */
     val status: RecoveryStatus = status()
 
     private fun status(): RecoveryStatus {
--- a/src/main/kotlin/umberslip/recovery/RecoveryReportJson.kt
+++ b/src/main/kotlin/umberslip/recovery/RecoveryReportJson.kt
@@ -11,6 +11,7 @@
 
     private const val SCHEMA_RESOURCE = "/umberslip/recovery/recovery.schema.json"
 
+    /** The report as one JSON document. */
     fun render(report: RecoveryReport): String =
         Documents.writeJson(
             mapOf(
--- a/src/main/kotlin/umberslip/recovery/RecoveryReportText.kt
+++ b/src/main/kotlin/umberslip/recovery/RecoveryReportText.kt
@@ -5,6 +5,7 @@
 
 /** A [RecoveryReport] in lines for people. Its words are those of the operators' pages. */
 object RecoveryReportText {
+    /** The lines, without a line end after the last one. */
     fun render(report: RecoveryReport): String =
         buildList {
             add("status: ${report.status.jsonName.replace('_', ' ')}")
--- a/src/main/kotlin/umberslip/recovery/archive/ArchiveException.kt
+++ b/src/main/kotlin/umberslip/recovery/archive/ArchiveException.kt
@@ -4,6 +4,7 @@
 sealed class ArchiveException(
     message: String,
 ) : Exception(message) {
+    /** It is some other file. */
     class NotAnArchive(
         reason: String,
     ) : ArchiveException("not an archive of records: $reason")
--- a/src/main/kotlin/umberslip/recovery/archive/RecordArchive.kt
+++ b/src/main/kotlin/umberslip/recovery/archive/RecordArchive.kt
@@ -65,6 +65,7 @@
     private const val VERSION = "stamp"
     private const val DATA = "data"
 
+    /** The line, before it is written as JSON. */
     fun of(entry: Entry): Map<String, Any?> =
         mapOf(
             KEY to entry.key,
@@ -72,6 +73,7 @@
             DATA to entry.data,
         )
 
+    /** Throws [ArchiveException.Corrupt]. */
     fun parse(fields: Fields): Entry =
         try {
             Entry(fields.text(KEY), fields.raw()[DATA], Version(fields.long(VERSION)))
--- a/src/main/kotlin/umberslip/recovery/archive/RecordComparison.kt
+++ b/src/main/kotlin/umberslip/recovery/archive/RecordComparison.kt
@@ -46,7 +46,11 @@
 
     /** Jobs that had a record before and have none after. */
     val finishedJobs: Set<JobId> = before.jobs - after.jobs
+
+    /** Jobs that have a record after and had none before. */
     val newJobs: Set<JobId> = after.jobs - before.jobs
+
+    /** Jobs that are cancelled after and were not before. */
     val newlyCancelledJobs: Set<JobId> = after.cancelled - before.cancelled
 
     /** Jobs with fewer tasks recorded as done than before. Nothing but damage leads to that, so it is looked for. */
@@ -70,6 +74,7 @@
         }
     }
 
+    /** How many tasks changed in this way. */
     fun count(change: TaskChange): Int = tasks.values.count { it == change }
 
     /** In lines, for people. */
