--- a/src/main/kotlin/umberslip/provisioning/Surplus.kt
+++ b/src/main/kotlin/umberslip/provisioning/Surplus.kt
@@ -23,8 +23,8 @@
         var spareCpus = up.sumOf { it.resources.cpus } - busyCpus.values.sum() - waitingCpus
         val surplus = HashSet<MachineName>()
         for (machine in up.sortedWith(compareBy({ -it.pricePerCpu }, { busyCpus[it.machineName] ?: 0.0 }))) {
-            val name = machine.machineName ?: continue
-            if (machine.hasPendingWork) continue
+            val name = machine.machineName
+            if (name == null || machine.hasPendingWork) continue
             // An empty machine that none of the pending work was planned for cannot help it.
             if (machine.isUsed && spareCpus < machine.resources.cpus * SPARE_FACTOR) continue
             spareCpus -= machine.resources.cpus
--- a/src/main/kotlin/umberslip/scheduling/Dispatcher.kt
+++ b/src/main/kotlin/umberslip/scheduling/Dispatcher.kt
@@ -106,9 +106,9 @@
         for (job in queue) {
             if (first != null && job.priority != first.priority) break
             jobsConsidered++
-            if (first != null && job.spec.image !in images) continue
-            if (!mayPlace(job, free)) continue
-            if (job.spec.image in images || !mayWaitForImage(job, free.now)) return job
+            val hasImage = job.spec.image in images
+            if ((first != null && !hasImage) || !mayPlace(job, free)) continue
+            if (hasImage || !mayWaitForImage(job, free.now)) return job
             first = job
         }
         return first
