--- a/src/main/kotlin/umberslip/leadership/LeadershipListener.kt
+++ b/src/main/kotlin/umberslip/leadership/LeadershipListener.kt
@@ -3,7 +3,7 @@
 import umberslip.records.RecordView
 import kotlin.time.Duration
 
-/** Is told when this controller begins and ends to lead. Called on the actors' thread. */
+/** Notified when this controller begins and ceases to lead. Called on the actors' thread. */
 interface LeadershipListener {
     /**
      * This controller leads.
--- a/src/main/kotlin/umberslip/scheduling/BatchComposer.kt
+++ b/src/main/kotlin/umberslip/scheduling/BatchComposer.kt
@@ -32,7 +32,8 @@
     /** Where few writes fit, finished jobs must not keep starts waiting. */
     private fun addFinishedJobs() {
         val maxWrites = transaction.limits.maxWrites
-        val maxFinishedJobWrites = if (pending.starts.isEmpty()) maxWrites else maxOf(2, maxWrites / 2)
+        val halfOfWrites = maxOf(TransactionBuilder.FINISHED_JOB_WRITES, maxWrites / 2)
+        val maxFinishedJobWrites = if (pending.starts.isEmpty()) maxWrites else halfOfWrites
         for (job in pending.finishedJobs) {
             if (!transaction.hasSpaceForFinishedJob(maxFinishedJobWrites)) return
             transaction.finish(job)
--- a/src/main/kotlin/umberslip/scheduling/BatchWriter.kt
+++ b/src/main/kotlin/umberslip/scheduling/BatchWriter.kt
@@ -33,7 +33,7 @@
     private val refreshRecords: () -> Unit,
     private val send: (LeaderMessage) -> Unit,
 ) {
-    private val log = LoggerFactory.getLogger("umberslip.dispatch")
+    private val log = LoggerFactory.getLogger("umberslip.scheduling")
     private var isWriting = false
     private var flushTimer: Job? = null
     private var lastBatchAt = Duration.ZERO
--- a/src/main/kotlin/umberslip/scheduling/Leader.kt
+++ b/src/main/kotlin/umberslip/scheduling/Leader.kt
@@ -43,7 +43,7 @@
     private val peerHealth: () -> PeerHealth,
     private val termListener: LeaderTermListener,
     metrics: MeterRegistry,
-) : Actor<LeaderMessage>("dispatch", scope, DEFAULT_CAPACITY + settings.sockets) {
+) : Actor<LeaderMessage>("scheduling", scope, DEFAULT_CAPACITY + settings.sockets) {
     private var scheduler: SchedulerState? = null
     private var maintenance: Maintenance? = null
     private var instanceTypes: List<InstanceType> = emptyList()
--- a/src/main/kotlin/umberslip/scheduling/LeaderMessage.kt
+++ b/src/main/kotlin/umberslip/scheduling/LeaderMessage.kt
@@ -12,7 +12,7 @@
 import umberslip.store.TransactionResult
 import kotlin.time.Duration
 
-/** What the [Leader] actor is told and asked. */
+/** A message to the [Leader] actor. */
 sealed interface LeaderMessage {
     // ---- from workers ----
 
@@ -47,7 +47,7 @@
         val all: List<InstanceType>,
     ) : LeaderMessage
 
-    /** Asks for what the provisioner plans from. Answered with null while not leading, and with how long it took. */
+    /** Asks for what the provisioner plans from: null while not leading. The answer also says how long it took. */
     class TakeSnapshot(
         val answer: (ClusterSnapshot?, Duration) -> Unit,
     ) : LeaderMessage
@@ -75,13 +75,13 @@
 
     // ---- from the leader's own parts ----
 
-    /** The write of [batch] is over; [result] is null where it was not applied, or its outcome was resolved. */
+    /** The write of [batch] ended; [result] is null where it was not applied, or its outcome was resolved. */
     class WriteCompleted(
         val batch: WriteBatch,
         val result: TransactionResult?,
     ) : LeaderMessage
 
-    /** Dispatch to this machine goes on, unless a newer heartbeat came from it meanwhile. */
+    /** Dispatch to this machine goes on, unless it sent a newer heartbeat meanwhile. */
     class ContinueDispatch(
         val machineName: MachineName,
         val heartbeatVersion: HeartbeatVersion,
--- a/src/main/kotlin/umberslip/scheduling/LogEntryBuilder.kt
+++ b/src/main/kotlin/umberslip/scheduling/LogEntryBuilder.kt
@@ -21,7 +21,7 @@
     private val rows = LinkedHashMap<JobId, LogRowBuilder>()
     private val namedBlocks = LinkedHashSet<ProgressBlock>()
 
-    /** An estimate, and no less than what the entry takes. */
+    /** An estimate of what the entry takes, by its JSON form. */
     var bytes = LogRecord.FIXED_BYTES
         private set
 
--- a/src/main/kotlin/umberslip/scheduling/ProgressBlock.kt
+++ b/src/main/kotlin/umberslip/scheduling/ProgressBlock.kt
@@ -68,7 +68,7 @@
         copiedEdit = maxOf(copiedEdit, edit)
     }
 
-    /** The key-value store took the block's record. */
+    /** The write of the block's record was applied. */
     fun recordWritten(
         write: ProgressWrite,
         version: Version,
--- a/src/main/kotlin/umberslip/scheduling/TaskExit.kt
+++ b/src/main/kotlin/umberslip/scheduling/TaskExit.kt
@@ -15,12 +15,12 @@
     val done: Boolean,
     /** The edit of its progress block that stands for it. */
     private val edit: BlockEdit,
-    /** When the leader learnt of it. */
+    /** When the leader received it, or became certain of it. */
     val since: Duration,
 ) {
     private var isLogged = false
 
-    /** Whether the log or the block's record holds it: the worker may be told to clear the task. */
+    /** Whether the log or the block's record holds it: the worker may be commanded to clear the task. */
     val isRecorded: Boolean get() = isLogged || edit.block.isInRecord(edit.edit)
 
     /** The log holds it. */
--- a/src/main/kotlin/umberslip/scheduling/TransactionBudget.kt
+++ b/src/main/kotlin/umberslip/scheduling/TransactionBudget.kt
@@ -29,8 +29,8 @@
         /** Writes go on in small batches however often the key-value store rejects one. */
         const val MIN_USED_PART = 0.125
 
-        /** A finished job takes two writes, its outcome and the deletion of its record. */
-        const val MIN_WRITES = 2
+        /** So that whatever is due fits into a transaction of its own. */
+        const val MIN_WRITES = TransactionBuilder.FINISHED_JOB_WRITES
     }
 }
 
--- a/src/main/kotlin/umberslip/scheduling/TransactionBuilder.kt
+++ b/src/main/kotlin/umberslip/scheduling/TransactionBuilder.kt
@@ -30,7 +30,7 @@
     private var revokedRenewals: Set<MachineName>? = null
     private val guardedJobs = HashSet<RunningJob>()
 
-    /** An estimate, and no less than what the writes take. */
+    /** An estimate of what the writes take. Finished jobs and deletions, which take little, are not counted. */
     private var bytes = 0
 
     val preconditionCount: Int get() = preconditions.size
@@ -155,8 +155,8 @@
         /** The key-value store takes four times as many preconditions as writes. */
         const val PRECONDITIONS_PER_WRITE = 4
 
-        /** Its outcome, and the deletion of its record. */
-        private const val FINISHED_JOB_WRITES = 2
+        /** A finished job takes two writes: its outcome, and the deletion of its record. */
+        const val FINISHED_JOB_WRITES = 2
 
         /** Of the job's record, of its outcome, and of the leader's record. */
         private const val FINISHED_JOB_PRECONDITIONS = 3
--- a/src/main/kotlin/umberslip/scheduling/WriteResolution.kt
+++ b/src/main/kotlin/umberslip/scheduling/WriteResolution.kt
@@ -24,7 +24,7 @@
     private val leaderLease: LeaderLease,
     private val isCurrent: (SchedulerState) -> Boolean,
 ) {
-    private val log = LoggerFactory.getLogger("umberslip.dispatch")
+    private val log = LoggerFactory.getLogger("umberslip.scheduling")
 
     /**
      * Makes sure that no earlier write of this term will be applied any more.
--- a/src/test/kotlin/umberslip/scheduling/LogCompactionTest.kt
+++ b/src/test/kotlin/umberslip/scheduling/LogCompactionTest.kt
@@ -38,7 +38,7 @@
         change: (JobSpec) -> JobSpec = { it },
     ) = leader.job { change(it.copy(tasks = tasks, cpus = 0.01, memoryGb = 0.01)) }
 
-    /** The machine heartbeats all of its tasks as running but for those that ended, and gets new ones. */
+    /** The machine reports its tasks as running but for those that [ended], gets new ones, and all is written. */
     private fun round(
         scheduler: TestScheduler,
         ended: Map<TaskId, ExitCause>,
@@ -80,22 +80,23 @@
         }
 
     @Test
-    fun `starts go on however often the tasks of a service are replaced`() {
+    fun `starts are recorded however often the tasks of a service are replaced`() {
         val service = service(tasks = 100)
         round(leader, emptyMap())
         assertEquals(100, service.assigned.size)
         val random = Random(1)
-        repeat(300) { n ->
+        repeat(300) { number ->
             val task = service.assigned.values.random(random)
             round(leader, mapOf(task.id to ExitCause.STOPPED))
-            assertFalse(leader.scheduler.hasUnrecorded(leader.machine("m")), "round $n: a start waits for its record")
+            val hasUnrecorded = leader.scheduler.hasUnrecorded(leader.machine("m"))
+            assertFalse(hasUnrecorded, "round $number: a start waits for its record")
         }
         assertTrue(leader.written.none { it.key == Keys.progress(service.spec.id, 0) }, "its own record never fitted")
         assertEquals(placements(leader), placements(leader.successor()))
     }
 
     @Test
-    fun `a copy keeps the highest attempt number readable after its task has ended`() {
+    fun `a copy preserves the highest attempt number after its task has exited`() {
         val job = array(tasks = 3)
         round(leader, emptyMap())
         val last = job.assigned.values.maxBy { it.attempt }
@@ -113,7 +114,7 @@
                 .toSet() + last.attempt,
             row.starts.map { it.attempt }.toSet(),
         )
-        assertEquals(listOf(LoggedExit(last.index, last.attempt, false)), row.ends, "and does not call it running")
+        assertEquals(listOf(LoggedExit(last.index, last.attempt, false)), row.ends, "and does not show it as running")
     }
 
     @Test
@@ -134,14 +135,14 @@
                     scenario.round(scheduler, ended.associateWith { scenario.causeFor(scheduler, it, random) })
                     if (random.nextInt(60) == 0) scheduler = scheduler.successor()
                 }
-                // Ends wait for a second at most before they are logged.
+                // Exits wait for a second at most before they are logged.
                 scheduler.now += 2.seconds
                 scheduler.write()
                 if (scheduler.hasCopies()) compacted++
                 val successor = scheduler.successor()
                 val difference = done(scheduler).filter { (job, tasks) -> done(successor)[job] != tasks }
                 assertEquals(emptyMap<String, List<Int>>(), difference, "seed $seed: done")
-                // What ended may be read as running, and is settled by the next heartbeat; what runs must be known.
+                // What exited may be read as running, until the next heartbeat is reconciled; what runs must be known.
                 val read = placements(successor)
                 for ((task, attempt) in placements(scheduler)) assertEquals(attempt, read[task], "seed $seed: $task")
                 for (job in scheduler.scheduler.jobs.values) {
