--- a/src/main/kotlin/umberslip/provisioning/BootingMachines.kt
+++ b/src/main/kotlin/umberslip/provisioning/BootingMachines.kt
@@ -5,8 +5,7 @@
 import umberslip.core.Clock
 import umberslip.core.MachineName
 import umberslip.http.MalformedMessageException
-import umberslip.http.NoResponseException
-import umberslip.http.ServiceUnavailableException
+import umberslip.http.ServiceException
 import umberslip.leadership.LeaderLease
 import umberslip.records.Keys
 import umberslip.scheduling.MachineSnapshot
@@ -94,9 +93,7 @@
                 listOf(Precondition(Keys.LEADER, version)),
                 listOf(Write.Put(Keys.BOOTING_MACHINES, record)),
             )
-        } catch (e: ServiceUnavailableException) {
-            log.debug("booting machines not persisted: reason={}", e.message)
-        } catch (e: NoResponseException) {
+        } catch (e: ServiceException) {
             log.debug("booting machines perhaps not persisted: reason={}", e.message)
         }
     }
--- a/src/main/kotlin/umberslip/provisioning/Provisioner.kt
+++ b/src/main/kotlin/umberslip/provisioning/Provisioner.kt
@@ -10,8 +10,7 @@
 import umberslip.cloud.InstanceType
 import umberslip.core.Clock
 import umberslip.http.MalformedMessageException
-import umberslip.http.NoResponseException
-import umberslip.http.ServiceUnavailableException
+import umberslip.http.ServiceException
 import umberslip.leadership.LeaderLease
 import umberslip.recovery.MissingMachines
 import umberslip.scheduling.ClusterSnapshot
@@ -94,9 +93,7 @@
             runRound()
             if (failures > 0) log.info("cloud available again: failures={}", failures)
             failures = 0
-        } catch (e: ServiceUnavailableException) {
-            backOff(e.message)
-        } catch (e: NoResponseException) {
+        } catch (e: ServiceException) {
             backOff(e.message)
         } catch (e: MalformedMessageException) {
             log.error("cloud response unreadable: reason={}", e.message)
--- a/src/main/kotlin/umberslip/recovery/RecoveryReport.kt
+++ b/src/main/kotlin/umberslip/recovery/RecoveryReport.kt
@@ -4,25 +4,24 @@
  * What an operator learns of the recovery as a whole. [exitCode] says the same to a script; it and [jsonName] are
  * published and stay when a constant is renamed.
  */
-@Suppress("MagicNumber") // Each exit code is named by its constant, and documented for operators.
 enum class RecoveryStatus(
     val exitCode: Int,
     val jsonName: String,
 ) {
     /** The leader has accounted for every start that was recorded when it was elected. */
-    COMPLETED(0, "settled"),
+    COMPLETED(exitCode = 0, jsonName = "settled"),
 
     /** The leader still waits for machines. */
-    RECOVERING(3, "recovering"),
+    RECOVERING(exitCode = 3, jsonName = "recovering"),
 
     /** The records name no leader: nothing is started until a controller is elected. */
-    NO_LEADER(4, "no_owner"),
+    NO_LEADER(exitCode = 4, jsonName = "no_owner"),
 
     /** The records name a leader that was not asked, does not respond, or does not track its recovery. */
-    LEADER_UNRESPONSIVE(5, "owner_not_heard"),
+    LEADER_UNRESPONSIVE(exitCode = 5, jsonName = "owner_not_heard"),
 
     /** Neither the records nor a leader could be read. */
-    UNKNOWN(6, "unknown"),
+    UNKNOWN(exitCode = 6, jsonName = "unknown"),
 }
 
 /** The records as read, or why they could not be. */
