--- a/src/main/kotlin/umberslip/provisioning/BootingMachines.kt
+++ b/src/main/kotlin/umberslip/provisioning/BootingMachines.kt
@@ -2,12 +2,15 @@
 
 import org.slf4j.Logger
 import umberslip.cloud.InstanceType
+import umberslip.cloud.Offer
 import umberslip.core.Clock
 import umberslip.core.MachineName
 import umberslip.http.MalformedMessageException
 import umberslip.http.ServiceException
 import umberslip.leadership.LeaderLease
+import umberslip.records.BootingMachinesRecord
 import umberslip.records.Keys
+import umberslip.records.RecordedBootingMachine
 import umberslip.scheduling.MachineSnapshot
 import umberslip.settings.Settings
 import umberslip.store.KeyValueStore
@@ -15,6 +18,7 @@
 import umberslip.store.Write
 import java.time.Instant
 import kotlin.time.Duration
+import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
 /**
@@ -69,8 +73,10 @@
     fun restore(record: Any?) {
         machines.clear()
         if (record == null) return
+        val now = clock.now()
+        val nowEpochMillis = wallClock().toEpochMilli()
         try {
-            BootingMachinesCodec.decode(record, clock.now(), wallClock().toEpochMilli()).forEach(::add)
+            for (recorded in BootingMachinesRecord.parse(record)) add(bootingMachine(recorded, now, nowEpochMillis))
         } catch (e: MalformedMessageException) {
             log.error("record of booting machines unreadable: key={} reason={}", Keys.BOOTING_MACHINES, e.message)
         }
@@ -86,18 +92,42 @@
         val version = leaderLease.version ?: return
         persisted = machines.keys.toSet()
         persistedAt = clock.now()
-        val epochMillis = wallClock().toEpochMilli() - persistedAt.inWholeMilliseconds
-        val record = BootingMachinesCodec.encode(machines.values, epochMillis, settings.storeLimits.valueBytes)
+        val epochMillisAtZero = wallClock().toEpochMilli() - persistedAt.inWholeMilliseconds
+        val recorded = machines.values.map { recordedMachine(it, epochMillisAtZero) }
+        val record = BootingMachinesRecord.fitting(recorded, settings.storeLimits.valueBytes)
         try {
             store.compareAndSwap(
                 listOf(Precondition(Keys.LEADER, version)),
-                listOf(Write.Put(Keys.BOOTING_MACHINES, record)),
+                listOf(Write.Put(Keys.BOOTING_MACHINES, record.toMap())),
             )
         } catch (e: ServiceException) {
             log.debug("booting machines perhaps not persisted: reason={}", e.message)
         }
     }
 
+    /** The record has times of the wall clock: a leader's steady clock means nothing to the next one. */
+    private fun recordedMachine(
+        machine: BootingMachine,
+        epochMillisAtZero: Long,
+    ) = RecordedBootingMachine(
+        machine.name,
+        machine.offer.type,
+        machine.offer.zone,
+        machine.offer.spot,
+        requested = Instant.ofEpochMilli(epochMillisAtZero + machine.since.inWholeMilliseconds),
+    )
+
+    /** [now] and [nowEpochMillis] are the same moment by both clocks. */
+    private fun bootingMachine(
+        recorded: RecordedBootingMachine,
+        now: Duration,
+        nowEpochMillis: Long,
+    ): BootingMachine {
+        val age = (nowEpochMillis - recorded.requested.toEpochMilli()).milliseconds
+        val offer = Offer(recorded.instanceType, recorded.zone, recorded.spot)
+        return BootingMachine(recorded.machineName, offer, now - age)
+    }
+
     private companion object {
         /** Changes within this time are written together. */
         val PERSIST_INTERVAL = 3.seconds
