--- a/src/main/kotlin/umberslip/leadership/LeaderElection.kt
+++ b/src/main/kotlin/umberslip/leadership/LeaderElection.kt
@@ -7,6 +7,7 @@
 import org.slf4j.LoggerFactory
 import umberslip.core.Clock
 import umberslip.core.Term
+import umberslip.http.ServiceException
 import umberslip.peers.PeerHealth
 import umberslip.records.Keys
 import umberslip.records.LeaderRecord
@@ -46,17 +47,15 @@
     fun start(): Job =
         scope.launch {
             while (true) {
-                catchingStoreFailure({ retryLater(it) }) {
+                try {
                     if (leaderLease.isLeader) lead() else follow()
+                } catch (e: ServiceException) {
+                    log.debug("leader election waits for the key-value store: reason={}", e.message)
+                    delay(RETRY)
                 }
             }
         }
 
-    private suspend fun retryLater(reason: String?) {
-        log.debug("leader election waits for the key-value store: reason={}", reason)
-        delay(RETRY)
-    }
-
     // ---- while another leads, or nobody ----
 
     private suspend fun follow() {
@@ -169,8 +168,10 @@
     private suspend fun renewOnce() {
         val lease = leaderLease.held?.lease ?: return
         val sent = clock.now()
-        catchingStoreFailure({ log.debug("leader's lease not renewed: reason={}", it) }) {
+        try {
             if (store.renew(lease)) leaderLease.renewed(sent) else leaderLease.lost("its lease has expired")
+        } catch (e: ServiceException) {
+            log.debug("leader's lease not renewed: reason={}", e.message)
         }
     }
 
--- a/src/main/kotlin/umberslip/scheduling/DependencyLookups.kt
+++ b/src/main/kotlin/umberslip/scheduling/DependencyLookups.kt
@@ -3,7 +3,7 @@
 import kotlinx.coroutines.CoroutineScope
 import kotlinx.coroutines.launch
 import umberslip.core.JobId
-import umberslip.leadership.catchingStoreFailure
+import umberslip.http.ServiceException
 import umberslip.records.JobOutcome
 import umberslip.records.Keys
 import umberslip.records.OutcomeRecord
@@ -50,8 +50,11 @@
     }
 
     private suspend fun read(id: JobId): JobOutcome? =
-        catchingStoreFailure({ null }) {
+        try {
             store.get(Keys.outcome(id))?.let { OutcomeRecord.parse(it.data).end }
+        } catch (_: ServiceException) {
+            // Asked for again after a while, as one that does not exist yet.
+            null
         }
 
     private companion object {
--- a/src/main/kotlin/umberslip/scheduling/WriteResolution.kt
+++ b/src/main/kotlin/umberslip/scheduling/WriteResolution.kt
@@ -2,9 +2,9 @@
 
 import kotlinx.coroutines.delay
 import org.slf4j.LoggerFactory
+import umberslip.http.ServiceException
 import umberslip.leadership.HeldLeaderRecord
 import umberslip.leadership.LeaderLease
-import umberslip.leadership.catchingStoreFailure
 import umberslip.records.Keys
 import umberslip.records.LeaderRecord
 import umberslip.store.KeyValueStore
@@ -38,8 +38,10 @@
     suspend fun fence(scheduler: SchedulerState): Boolean {
         while (isCurrent(scheduler)) {
             val held = leaderLease.held ?: return false
-            catchingStoreFailure({ log.debug("earlier writes not fenced yet: reason={}", it) }) {
+            try {
                 return tryFence(scheduler, held)
+            } catch (e: ServiceException) {
+                log.debug("earlier writes not fenced yet: reason={}", e.message)
             }
             delay(RETRY)
         }
@@ -100,12 +102,12 @@
     ) {
         var failures = 0
         while (isCurrent(scheduler)) {
-            catchingStoreFailure({
-                if (failures++ == 0) log.info("key of an unresolved write not read yet: key={} reason={}", key, it)
-            }) {
+            try {
                 val entry = store.get(key)
                 scheduler.resolve(key, entry?.version, entry?.data)
                 return
+            } catch (e: ServiceException) {
+                if (failures++ == 0) log.info("key of unresolved write not read yet: key={} reason={}", key, e.message)
             }
             delay(RETRY)
         }
