--- a/src/main/kotlin/umberslip/scheduling/Dispatcher.kt
+++ b/src/main/kotlin/umberslip/scheduling/Dispatcher.kt
@@ -15,7 +15,7 @@
  */
 class Dispatcher(
     val team: TeamSettings,
-    /** Images that some machine of the cluster has fetched; changes as they do. */
+    /** Images with which a task of any team was placed on some machine; grows as tasks are placed. */
     private val cachedImages: Set<String> = emptySet(),
 ) {
     val quota = TeamQuota(team)
--- a/src/main/kotlin/umberslip/scheduling/SchedulerState.kt
+++ b/src/main/kotlin/umberslip/scheduling/SchedulerState.kt
@@ -49,7 +49,7 @@
     private val terminatedMachines = HashSet<MachineName>()
     private val instanceTypes = HashMap<String, InstanceType>()
 
-    /** Images that some machine has fetched. */
+    /** Images with which a task was placed on some machine, so that it has them or soon will. */
     private val cachedImages = HashSet<String>()
 
     /** By name, in the order of the settings. */
--- a/src/test/kotlin/umberslip/scheduling/DependencyGraphTest.kt
+++ b/src/test/kotlin/umberslip/scheduling/DependencyGraphTest.kt
@@ -42,66 +42,112 @@
         return specs
     }
 
-    /** The same by its definition, over all jobs that ever were submitted. */
-    private class Model(
-        val specs: Map<JobId, JobSpec>,
+    /** Jobs are submitted, end and are cancelled at random; after each step the graph is as [DependencyModel] says. */
+    private class History(
+        private val random: Random,
+        specs: List<JobSpec>,
     ) {
-        val done = HashSet<JobId>()
-        val cancelled = HashSet<JobId>()
+        private val model = DependencyModel(specs)
+        private val jobs = LinkedHashMap<JobId, RunningJob>()
+        private val dependencyGraph = DependencyGraph(jobs)
 
-        private val known = HashMap<Pair<String, JobId>, Any?>()
+        /** A new leader loads the jobs in any order; else they are submitted one after the other while others end. */
+        private val isAfterFailover = random.nextBoolean()
+        private val notSubmitted = ArrayDeque(if (isAfterFailover) specs.shuffled(random) else specs)
 
-        /** A job was submitted or has ended: what follows from it is computed anew. */
-        fun changed() = known.clear()
-
-        @Suppress("UNCHECKED_CAST")
-        private fun <T> once(
-            what: String,
-            id: JobId,
-            find: () -> T,
-        ): T {
-            val key = what to id
-            if (key !in known) known[key] = find()
-            return known[key] as T
+        fun play() {
+            while (notSubmitted.isNotEmpty() || jobs.keys.any(model::isOpen)) {
+                submitOrEndOne()
+                removeCancelled()
+                readOutcomes()
+                for ((job, inherited) in dependencyGraph.inheritPriorities()) {
+                    job.inherit(inherited.priority, inherited.deadlines, Duration.ZERO)
+                }
+                for ((id, job) in jobs) check(id, job)
+            }
         }
 
-        fun dependencyCancelled(id: JobId): Boolean =
-            once("cancelled", id) {
-                specs.getValue(id).dependencies.any { it in cancelled || dependencyCancelled(it) }
+        private fun submitOrEndOne() {
+            val runnable = jobs.keys.filter { model.isOpen(it) && !model.isBlocked(it) }
+            val maySubmit = notSubmitted.isNotEmpty()
+            when {
+                maySubmit && (isAfterFailover || runnable.isEmpty() || random.nextInt(3) > 0) -> submit()
+                random.nextInt(8) == 0 -> cancel(jobs.keys.filter(model::isOpen).random(random))
+                else -> finish(runnable.random(random))
             }
+        }
 
-        fun isBlocked(id: JobId): Boolean = specs.getValue(id).dependencies.any { it !in done }
+        private fun submit() {
+            val spec = notSubmitted.removeFirst()
+            val record = Versioned(JobRecord(spec, Instant.EPOCH, false), Version(1))
+            val deadlines = listOfNotNull(spec.deadlineSeconds?.seconds)
+            val objectiveDeadlines = deadlines.ifEmpty { listOf(WITHOUT_DEADLINE) }
+            val job = RunningJob(spec, record, tasksPerBlock = 16, Duration.ZERO, objectiveDeadlines, deadlines)
+            jobs[spec.id] = job
+            model.changed()
+            dependencyGraph.added(job)
+        }
 
-        fun open(id: JobId): Boolean = id !in done && id !in cancelled && !dependencyCancelled(id)
+        private fun cancel(id: JobId) {
+            model.cancelled(id)
+            val job = jobs.getValue(id)
+            job.record = Versioned(job.record.value.copy(cancelled = true), Version(2))
+            dependencyGraph.cancelDependents(job)
+        }
 
-        private fun dependents(
-            id: JobId,
-            among: Set<JobId>,
-        ): List<JobId> = among.filter { open(it) && id in specs.getValue(it).dependencies }
+        private fun finish(id: JobId) {
+            model.done(id)
+            remove(id)
+            dependencyGraph.ended(id, JobOutcome.DONE)
+        }
 
-        fun priority(
-            id: JobId,
-            among: Set<JobId>,
-        ): Priority =
-            once("priority", id) {
-                val inherited = dependents(id, among).map { priority(it, among) }
-                (inherited + specs.getValue(id).priority).min()
+        private fun remove(id: JobId) = dependencyGraph.removed(jobs.remove(id) ?: error("$id is not there"))
+
+        /** The records of cancelled jobs are removed, too, sooner or later. */
+        private fun removeCancelled() {
+            for (id in jobs.keys.filter { model.isCancelled(it) || model.isDependencyCancelled(it) }) {
+                if (random.nextInt(4) > 0) continue
+                remove(id)
+                model.changed()
+                if (random.nextBoolean()) dependencyGraph.ended(id, JobOutcome.CANCELLED)
+            }
+        }
+
+        /** The outcome of a job that ended before its dependents were submitted is read. */
+        private fun readOutcomes() {
+            for (id in dependencyGraph.unread.toList()) {
+                val isUnknown = id !in jobs && notSubmitted.none { it.id == id }
+                if (model.isDone(id)) {
+                    dependencyGraph.ended(id, JobOutcome.DONE)
+                } else if (model.isCancelled(id) || isUnknown) {
+                    dependencyGraph.ended(id, JobOutcome.CANCELLED)
+                }
             }
+        }
 
-        /** The earliest of the deadlines that it inherits. */
-        fun inherited(
+        private fun check(
             id: JobId,
-            among: Set<JobId>,
-        ): Duration? =
-            once("deadline", id) {
-                dependents(id, among)
-                    .mapNotNull { dependent ->
-                        val spec = specs.getValue(dependent)
-                        listOfNotNull(
-                            spec.deadlineSeconds?.seconds,
-                            inherited(dependent, among),
-                        ).minOrNull()?.minus(spec.expectedSeconds.seconds)
-                    }.minOrNull()
+            job: RunningJob,
+        ) {
+            if (model.isCancelled(id)) return
+            if (model.isBlocked(id)) assertEquals(0, job.waiting, "$id must not be placed")
+            if (notSubmitted.isNotEmpty() && isAfterFailover) return
+            assertEquals(model.isDependencyCancelled(id), job.dependencyCancelled, "$id cancelled")
+            if (job.dependencyCancelled) return
+            assertEquals(model.isBlocked(id), job.isBlocked, "$id blocked")
+            assertEquals(model.priority(id, jobs.keys), job.priority, "$id priority")
+            val ownDeadline = job.spec.deadlineSeconds?.seconds ?: WITHOUT_DEADLINE
+            val deadline = minOf(ownDeadline, model.inheritedDeadline(id, jobs.keys))
+            assertEquals(deadline, job.firstDeadline, "$id deadline")
+            val state = DependencyState.of(job.record.value, { jobs[it]?.record?.value }, ::outcome)
+            assertEquals(DependencyState.Open, state)
+        }
+
+        private fun outcome(id: JobId): JobOutcome? =
+            when {
+                model.isDone(id) -> JobOutcome.DONE
+                id in jobs -> null
+                else -> JobOutcome.CANCELLED
             }
     }
 
@@ -110,101 +156,10 @@
         runBlocking<Unit> {
             checkAll(PropTestConfig(seed = 21, iterations = 300), Arb.long()) { seed ->
                 val random = Random(seed)
-                val specs = graph(random)
-                val model = Model(specs.associateBy { it.id })
-                val jobs = LinkedHashMap<JobId, RunningJob>()
-                val dependencyGraph = DependencyGraph(jobs)
-                // A new leader loads them in any order; else they are submitted one after the other while others end.
-                val afterFailover = random.nextBoolean()
-                val notSubmitted = ArrayDeque(if (afterFailover) specs.shuffled(random) else specs)
-                while (notSubmitted.isNotEmpty() || jobs.keys.any(model::open)) {
-                    val ready = jobs.keys.filter { model.open(it) && !model.isBlocked(it) }
-                    when {
-                        notSubmitted.isNotEmpty() && (afterFailover || ready.isEmpty() || random.nextInt(3) > 0) -> {
-                            val spec = notSubmitted.removeFirst()
-                            val due = listOfNotNull(spec.deadlineSeconds?.seconds)
-                            val job =
-                                RunningJob(
-                                    spec,
-                                    Versioned(JobRecord(spec, Instant.EPOCH, false), Version(1)),
-                                    16,
-                                    Duration.ZERO,
-                                    due.ifEmpty { listOf(3600.seconds) },
-                                    due,
-                                )
-                            jobs[spec.id] = job
-                            model.changed()
-                            dependencyGraph.added(job)
-                        }
-                        random.nextInt(8) == 0 -> {
-                            val id = jobs.keys.filter(model::open).random(random)
-                            model.cancelled += id
-                            model.changed()
-                            val job = jobs.getValue(id)
-                            job.record = Versioned(job.record.value.copy(cancelled = true), Version(2))
-                            dependencyGraph.cancelDependents(job)
-                        }
-                        else -> {
-                            val id = ready.random(random)
-                            model.done += id
-                            model.changed()
-                            dependencyGraph.removed(jobs.remove(id) ?: error("not there"))
-                            dependencyGraph.ended(id, JobOutcome.DONE)
-                        }
-                    }
-                    // The records of cancelled jobs are removed, too, sooner or later.
-                    for (id in jobs.keys.filter { it in model.cancelled || model.dependencyCancelled(it) }) {
-                        if (random.nextInt(4) == 0) {
-                            dependencyGraph.removed(jobs.remove(id) ?: error("not there"))
-                            model.changed()
-                            if (random.nextBoolean()) dependencyGraph.ended(id, JobOutcome.CANCELLED)
-                        }
-                    }
-                    // The outcome of a job that ended before its dependents were submitted is read.
-                    for (id in dependencyGraph.unread.toList()) {
-                        if (id in model.done) {
-                            dependencyGraph.ended(id, JobOutcome.DONE)
-                        } else if (id in model.cancelled || (id !in jobs && notSubmitted.none { it.id == id })) {
-                            dependencyGraph.ended(id, JobOutcome.CANCELLED)
-                        }
-                    }
-                    for ((job, inherited) in dependencyGraph.inheritPriorities()) {
-                        job.inherit(inherited.priority, inherited.deadlines, Duration.ZERO)
-                    }
-                    for ((id, job) in jobs) check(id, job, model, jobs, notSubmitted.isEmpty() || !afterFailover)
-                }
+                History(random, graph(random)).play()
             }
         }
 
-    private fun check(
-        id: JobId,
-        job: RunningJob,
-        model: Model,
-        jobs: Map<JobId, RunningJob>,
-        complete: Boolean,
-    ) {
-        if (id in model.cancelled) return
-        if (model.isBlocked(id)) assertEquals(0, job.waiting, "$id must not be placed")
-        if (!complete) return
-        assertEquals(model.dependencyCancelled(id), job.dependencyCancelled, "$id cancelled")
-        if (job.dependencyCancelled) return
-        assertEquals(model.isBlocked(id), job.isBlocked, "$id blocked")
-        assertEquals(model.priority(id, jobs.keys), job.priority, "$id priority")
-        val own = job.spec.deadlineSeconds?.seconds ?: 3600.seconds
-        assertEquals(listOfNotNull(own, model.inherited(id, jobs.keys)).min(), job.firstDeadline, "$id deadline")
-        val state =
-            DependencyState.of(job.record.value, { jobs[it]?.record?.value }) {
-                if (it in model.done) {
-                    JobOutcome.DONE
-                } else if (it in jobs) {
-                    null
-                } else {
-                    JobOutcome.CANCELLED
-                }
-            }
-        assertEquals(DependencyState.Open, state)
-    }
-
     @Test
     fun `a job is cancelled with a dependency however far away it is, and unknown outcomes are asked for`() {
         val specs =
@@ -307,4 +262,9 @@
                 .isEmpty(),
         )
     }
+
+    private companion object {
+        /** The objective deadline of jobs that have none of their own. */
+        val WITHOUT_DEADLINE = 3600.seconds
+    }
 }
--- a/src/test/kotlin/umberslip/scheduling/DispatcherTest.kt
+++ b/src/test/kotlin/umberslip/scheduling/DispatcherTest.kt
@@ -106,54 +106,60 @@
         }
     }
 
-    /**
-     * Work is submitted faster than the machines can run it, most of it with the higher priority. Whatever its
-     * priority, team and size, and however late it is submitted, a job starts within four minutes, and of each
-     * priority at least half is done.
-     */
-    @Test
-    fun `no job starves under a lasting overload`() {
-        for (seed in 1..12) {
-            val random = Random(seed)
-            val leader = TestScheduler()
-            val cluster = BusyCluster(leader, machines = 6)
-            val cpus = cluster.cpus
-            val urgent = listOf(Priority.CRITICAL, Priority.HIGH, Priority.NORMAL).random(random)
-            val load = mapOf(urgent to 0.6 + random.nextDouble() * 0.3, Priority.IDLE to 0.4)
-            val missingCpuSeconds = HashMap<Priority, Double>()
-            val submittedAt = HashMap<RunningJob, Duration>()
-            val startedAt = HashMap<RunningJob, Duration>()
-            val start = leader.now
-            for (second in 1..700) {
+    /** Submits more work than the machines can run, most of it with the higher of two priorities. */
+    private class Overload(
+        private val seed: Int,
+    ) {
+        private val random = Random(seed)
+        private val leader = TestScheduler()
+        private val cluster = BusyCluster(leader, machines = 6)
+        private val highPriority = listOf(Priority.CRITICAL, Priority.HIGH, Priority.NORMAL).random(random)
+        private val load = mapOf(highPriority to 0.6 + random.nextDouble() * 0.3, Priority.IDLE to 0.4)
+        private val missingCpuSeconds = HashMap<Priority, Double>()
+        private val submittedAt = HashMap<RunningJob, Duration>()
+        private val startedAt = HashMap<RunningJob, Duration>()
+        private val start = leader.now
+
+        fun play() {
+            for (second in 1..SECONDS) {
                 leader.now += 1.seconds
-                for ((priority, share) in load) {
-                    val more = (missingCpuSeconds[priority] ?: 0.0) + share * cpus
-                    // The largest is submitted last, with the lowest priority.
-                    val largest = second == 450 && priority == Priority.IDLE
-                    val tasks = if (largest) 120 else random.nextInt(4, 40)
-                    val seconds = random.nextInt(5, 15)
-                    if (second <= 450 && (largest || more > tasks * seconds)) {
-                        val job =
-                            leader.job {
-                                it.copy(
-                                    priority = priority,
-                                    tasks = tasks,
-                                    team = if (random.nextInt(8) == 0) "blue" else "green",
-                                    expectedSeconds = seconds.toDouble(),
-                                    deadlineSeconds = 60.0,
-                                )
-                            }
-                        submittedAt[job] = leader.now
-                        missingCpuSeconds[priority] = more - tasks * seconds
-                    } else {
-                        missingCpuSeconds[priority] = more
-                    }
-                }
+                for ((priority, share) in load) submit(priority, share, second)
                 cluster.step()
                 for (job in submittedAt.keys) {
                     if (job.assigned.size + job.doneCount > 0) startedAt.putIfAbsent(job, leader.now)
                 }
             }
+        }
+
+        private fun submit(
+            priority: Priority,
+            share: Double,
+            second: Int,
+        ) {
+            val missing = (missingCpuSeconds[priority] ?: 0.0) + share * cluster.cpus
+            // The largest is submitted last, with the lowest priority.
+            val isLargest = second == LAST_SUBMISSION && priority == Priority.IDLE
+            val tasks = if (isLargest) 120 else random.nextInt(4, 40)
+            val seconds = random.nextInt(5, 15)
+            if (second > LAST_SUBMISSION || (!isLargest && missing <= tasks * seconds)) {
+                missingCpuSeconds[priority] = missing
+                return
+            }
+            missingCpuSeconds[priority] = missing - tasks * seconds
+            val job =
+                leader.job {
+                    it.copy(
+                        priority = priority,
+                        tasks = tasks,
+                        team = if (random.nextInt(8) == 0) "blue" else "green",
+                        expectedSeconds = seconds.toDouble(),
+                        deadlineSeconds = 60.0,
+                    )
+                }
+            submittedAt[job] = leader.now
+        }
+
+        fun checkStarts() {
             for ((job, at) in submittedAt) {
                 val wait = (startedAt[job] ?: (leader.now + 1.seconds)) - at
                 assertTrue(
@@ -162,13 +168,33 @@
                         "submitted after ${at - start} waited $wait to start",
                 )
             }
+        }
+
+        fun checkDone() {
             for ((priority, jobs) in submittedAt.keys.groupBy { it.spec.priority }) {
-                assertTrue(
-                    jobs.sumOf { it.doneCount } * 2 >= jobs.sumOf { it.spec.tasks },
-                    "seed $seed: of $priority only ${jobs.sumOf { it.doneCount }} " +
-                        "of ${jobs.sumOf { it.spec.tasks }} tasks were done",
-                )
+                val done = jobs.sumOf { it.doneCount }
+                val tasks = jobs.sumOf { it.spec.tasks }
+                assertTrue(done * 2 >= tasks, "seed $seed: of $priority only $done of $tasks tasks were done")
             }
         }
     }
+
+    /**
+     * Whatever its priority, team and size, and however late it is submitted, a job starts within four minutes, and of
+     * each priority at least half is done.
+     */
+    @Test
+    fun `no job starves under a lasting overload`() {
+        for (seed in 1..12) {
+            val overload = Overload(seed)
+            overload.play()
+            overload.checkStarts()
+            overload.checkDone()
+        }
+    }
+
+    private companion object {
+        const val SECONDS = 700
+        const val LAST_SUBMISSION = 450
+    }
 }
--- a/src/test/kotlin/umberslip/scheduling/HeartbeatReconciliationTest.kt
+++ b/src/test/kotlin/umberslip/scheduling/HeartbeatReconciliationTest.kt
@@ -45,13 +45,15 @@
         val commands: List<WorkerCommand>,
     )
 
-    /** What really is on a machine, with heartbeats that are under way or arrive again later. */
+    /** What really is on a machine, and what is under way to and from it. */
     private class ActualMachine(
         var fencingToken: Term,
     ) {
         /** The attempt of each task on the machine. */
         val attempts = LinkedHashMap<TaskId, Long>()
         var sequenceNumber = 0L
+
+        /** Copies of heartbeats that arrive later. */
         val delayedHeartbeats = ArrayList<DelayedHeartbeat>()
 
         /** The last response of a former leader, which may still arrive. */
@@ -68,83 +70,92 @@
         }
     }
 
+    /** A machine and its leaders, with failovers, cancellations, and heartbeats and responses that are late or lost. */
+    private class History(
+        private val random: Random,
+    ) {
+        private var leader = TestScheduler()
+        private val machine = ActualMachine(leader.term)
+        private val jobs =
+            List(4) { leader.job { it.copy(tasks = 3, cpus = 0.5, memoryGb = 0.1) } }.map { it.spec.id }
+
+        /** How many heartbeats of former terms arrived. */
+        var tokensBehind = 0
+            private set
+
+        fun step() {
+            leader.now += 1.seconds
+            when (random.nextInt(8)) {
+                0 -> leader = leader.successor()
+                1 -> machine.delayedHeartbeats.removeFirstOrNull()?.let { deliver(it, responseArrives = false) }
+                2 -> leader.scheduler.jobs[jobs.random(random)]?.let(leader::cancel)
+                3 -> deliverDelayedResponse()
+                else -> heartbeat()
+            }
+            for ((task, attempt) in machine.attempts) checkIsHeld(task, attempt)
+        }
+
+        private fun deliverDelayedResponse() {
+            val response = machine.delayedResponse ?: return
+            machine.delayedResponse = null
+            if (response.term >= machine.fencingToken) machine.execute(response.commands)
+        }
+
+        private fun heartbeat() {
+            val attempts = machine.attempts.toMap()
+            val heartbeat = DelayedHeartbeat(++machine.sequenceNumber, machine.fencingToken, attempts)
+            if (random.nextInt(3) == 0) machine.delayedHeartbeats += heartbeat
+            // Delayed before it arrives, or answered; the response may be lost.
+            if (random.nextInt(5) > 0) deliver(heartbeat, responseArrives = random.nextInt(5) > 0)
+        }
+
+        private fun deliver(
+            heartbeat: DelayedHeartbeat,
+            responseArrives: Boolean,
+        ) {
+            val disposition =
+                leader.heartbeat(
+                    "m",
+                    *heartbeat.attempts.map { (task, attempt) -> TestScheduler.running(task, attempt) }.toTypedArray(),
+                    fencingToken = heartbeat.fencingToken,
+                    sequenceNumber = heartbeat.sequenceNumber,
+                )
+            if (disposition == HeartbeatDisposition.TOKEN_BEHIND) tokensBehind++
+            if (disposition == HeartbeatDisposition.ACCEPTED) respond(responseArrives)
+            if (responseArrives && disposition in ANSWERED) machine.fencingToken = leader.term
+        }
+
+        private fun respond(responseArrives: Boolean) {
+            leader.dispatch("m")
+            leader.write()
+            val commands = leader.commands("m")
+            if (responseArrives) machine.execute(commands)
+            machine.delayedResponse = if (responseArrives) null else DelayedResponse(leader.term, commands)
+        }
+
+        private fun checkIsHeld(
+            task: TaskId,
+            attempt: Long,
+        ) {
+            val job = leader.scheduler.jobs[task.job]
+            val assignment = job?.assigned?.get(task.index)
+            assertTrue(
+                assignment?.machineName == MachineName("m") && assignment.attempt == attempt,
+                "$task is on the machine and not held for it",
+            )
+        }
+    }
+
     @Test
     fun `what is on a machine is held for it whatever heartbeats of former terms arrive`() =
         runBlocking<Unit> {
-            var tokenBehind = 0
+            var tokensBehind = 0
             checkAll(PropTestConfig(seed = 5, iterations = 300), Arb.long()) { seed ->
-                val random = Random(seed)
-                var leader = TestScheduler()
-                val actual = ActualMachine(leader.term)
-                val jobs = List(4) { leader.job { it.copy(tasks = 3, cpus = 0.5, memoryGb = 0.1) } }.map { it.spec.id }
-
-                fun deliver(
-                    sequenceNumber: Long,
-                    fencingToken: Term,
-                    attempts: Map<TaskId, Long>,
-                    responseArrives: Boolean,
-                ) {
-                    val disposition =
-                        leader.heartbeat(
-                            "m",
-                            *attempts.map { (task, attempt) -> TestScheduler.running(task, attempt) }.toTypedArray(),
-                            fencingToken = fencingToken,
-                            sequenceNumber = sequenceNumber,
-                        )
-                    if (disposition == HeartbeatDisposition.TOKEN_BEHIND) tokenBehind++
-                    if (disposition == HeartbeatDisposition.ACCEPTED) {
-                        leader.dispatch("m")
-                        leader.write()
-                        val commands = leader.commands("m")
-                        if (responseArrives) actual.execute(commands)
-                        actual.delayedResponse =
-                            if (responseArrives) null else DelayedResponse(leader.term, commands)
-                    }
-                    if (responseArrives && disposition in ANSWERED) actual.fencingToken = leader.term
-                }
-                repeat(25) {
-                    leader.now += 1.seconds
-                    when (random.nextInt(8)) {
-                        0 -> leader = leader.successor()
-                        1 -> {
-                            actual.delayedHeartbeats.removeFirstOrNull()?.let {
-                                deliver(it.sequenceNumber, it.fencingToken, it.attempts, responseArrives = false)
-                            }
-                        }
-                        3 -> {
-                            val response = actual.delayedResponse
-                            actual.delayedResponse = null
-                            if (response != null && response.term >= actual.fencingToken) {
-                                actual.execute(response.commands)
-                            }
-                        }
-                        2 -> leader.scheduler.jobs[jobs.random(random)]?.let(leader::cancel)
-                        else -> {
-                            val attempts = actual.attempts.toMap()
-                            val sequenceNumber = ++actual.sequenceNumber
-                            val fencingToken = actual.fencingToken
-                            if (random.nextInt(3) == 0) {
-                                actual.delayedHeartbeats += DelayedHeartbeat(sequenceNumber, fencingToken, attempts)
-                            }
-                            // Delayed before it arrives, or answered; the response may be lost.
-                            if (random.nextInt(5) > 0) {
-                                deliver(sequenceNumber, fencingToken, attempts, responseArrives = random.nextInt(5) > 0)
-                            }
-                        }
-                    }
-                    for ((task, attempt) in actual.attempts) {
-                        val assignment =
-                            leader.scheduler.jobs[task.job]
-                                ?.assigned
-                                ?.get(task.index)
-                        assertTrue(
-                            assignment?.machineName == MachineName("m") && assignment.attempt == attempt,
-                            "$task is on the machine and not held for it",
-                        )
-                    }
-                }
+                val history = History(Random(seed))
+                repeat(25) { history.step() }
+                tokensBehind += history.tokensBehind
             }
-            assertTrue(tokenBehind > 100, "only $tokenBehind heartbeats of former terms")
+            assertTrue(tokensBehind > 100, "only $tokensBehind heartbeats of former terms")
         }
 
     @Test
