--- a/src/main/kotlin/umberslip/api/JobApi.kt
+++ b/src/main/kotlin/umberslip/api/JobApi.kt
@@ -35,7 +35,7 @@
     /** Whether this controller can serve users. */
     private val ready: () -> Boolean,
     metrics: MeterRegistry,
-) : Actor<JobApiMessage>("admission", scope, DEFAULT_CAPACITY + settings.sockets) {
+) : Actor<JobApiMessage>("api", scope, DEFAULT_CAPACITY + settings.sockets) {
     private val teams = settings.teams.associateBy { it.name }
     private val outcomes = OutcomeCache(store)
     private val statuses = JobStatusReader(recordWatcher, outcomes)
