--- a/src/test/kotlin/umberslip/sim/CloudMisbehaviourTest.kt
+++ b/src/test/kotlin/umberslip/sim/CloudMisbehaviourTest.kt
@@ -9,17 +9,17 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** Work goes on wherever the cloud still provisions machines, however it misbehaves otherwise. */
+/** Checks that jobs finish if the cloud provisions any machines, whatever protocol violations it commits. */
 class CloudMisbehaviourTest {
     @ParameterizedTest
     @EnumSource(names = ["REJECTS_ALL"], mode = EnumSource.Mode.EXCLUDE)
-    fun `one refusal of the cloud keeps everything else from being provisioned or terminated`(it: CloudMisbehaviour) {
+    fun `jobs finish and idle machines are terminated despite a misbehaving cloud`(misbehaviour: CloudMisbehaviour) {
         val cluster = cluster(seed = 3)
         cluster.run(10.seconds)
-        cluster.cloudMisbehaviour = it
+        cluster.cloudMisbehaviour = misbehaviour
         submitWaves(cluster, waves = 4)
         assertAllFinish(cluster, within = 300.seconds)
-        // Idle machines are terminated, but for the one whose termination is rejected.
+        // All idle machines are terminated, except for one if its termination is rejected.
         cluster.run(120.seconds)
         assertTrue(cluster.upMachines().size <= 1, "\n${cluster.describe()}")
         cluster.end()
@@ -28,12 +28,12 @@
 
     @ParameterizedTest
     @EnumSource(names = ["REJECTS_ALL"])
-    fun `rejected requests are sent again and again`(it: CloudMisbehaviour) {
+    fun `rejected provisioning requests are retried`(misbehaviour: CloudMisbehaviour) {
         val cluster = cluster(seed = 4)
-        cluster.cloudMisbehaviour = it
+        cluster.cloudMisbehaviour = misbehaviour
         submitWaves(cluster, waves = 1)
         cluster.run(80.seconds)
-        // Eight offers, each after 0, 15 and 45 seconds, and perhaps after 75.
+        // Each of the eight offers is requested after 0, 15 and 45 seconds, and possibly after 75 seconds.
         assertTrue(cluster.provisioningRequests in 8..32, "${cluster.provisioningRequests} requests")
         cluster.cloudMisbehaviour = null
         assertAllFinish(cluster, within = 300.seconds)
--- a/src/test/kotlin/umberslip/sim/ClusterSizeTest.kt
+++ b/src/test/kotlin/umberslip/sim/ClusterSizeTest.kt
@@ -11,23 +11,28 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** The controllers' own code with as many machines as the largest fleets, through what hurts at that size. */
+/** Runs the actual controllers with as many machines as the largest fleets have, under faults that hit many of them. */
 class ClusterSizeTest {
     @Test
-    fun `a fleet of six teams outlives mass losses and the end of all controllers`() {
+    fun `all jobs of six teams end despite mass losses of machines and a restart of all controllers`() {
         val size = ClusterSize(61, 3, 500, 10_000, instanceTypes(32.0, 64.0))
-        play(7, size, Fixtures::teamsFleetJson, 6.0) { random, n ->
+        runWithFaults(7, size, Fixtures::teamsFleetJson, 6.0) { random, n ->
             Fixtures.fleetJob(random, n, Fixtures.TEAMS)
         }
     }
 
     @Test
-    fun `a fleet of sixteen hundred machines and seven controllers does so too`() =
-        play(8, ClusterSize(206, 7, 500, 10_000, instanceTypes(4.0, 8.0)), Fixtures::largeFleetJson, 2.0) { random, n ->
+    fun `all jobs of a fleet with 1600 machines and seven controllers end despite the same faults`() =
+        runWithFaults(
+            8,
+            ClusterSize(206, 7, 500, 10_000, instanceTypes(4.0, 8.0)),
+            Fixtures::largeFleetJson,
+            2.0,
+        ) { random, n ->
             Fixtures.fleetJob(random, n, listOf("sole"))
         }
 
-    /** All report at once to a new leader, and again when their controllers go on after a standstill. */
+    /** All machines send heartbeats to a new leader at once, and again when all controllers continue after a freeze. */
     @Test
     fun `no heartbeat of four thousand machines is dropped and no lease is lost`() {
         val size = ClusterSize(500, 7, 500, 10_000, instanceTypes(4.0, 8.0))
@@ -37,7 +42,7 @@
                 FaultRates(0.0, 0.0),
                 size,
                 { Fixtures.largeFleetJson(it).replace(""""sockets":200""", """"sockets":5000""") },
-                { RECOVERY },
+                { RECOVERY_TUNING },
             )
         repeat(size.members) { cluster.startController(it) }
         val random = Random(9)
@@ -60,7 +65,7 @@
         cluster.end()
         assertEquals(0, cluster.heartbeatsDropped)
         assertEquals(emptyList<String>(), cluster.violations.take(5))
-        assertEquals(0, epochs.count { (machine, epoch) -> machine.epoch != epoch }, "leases that were lost")
+        assertEquals(0, epochs.count { (machine, epoch) -> machine.epoch != epoch }, "machines that lost their lease")
     }
 
     private fun instanceTypes(
@@ -70,28 +75,28 @@
         InstanceType(name, cpus, 0.0, cpus * 2, 1.0, cpus / 25, cpus / 50, 8.seconds, listOf("east", "west"))
     }
 
-    private fun play(
+    private fun runWithFaults(
         seed: Int,
         size: ClusterSize,
         settings: (String) -> String,
-        arrivals: Double,
-        job: (Random, Int) -> JobSpec,
+        jobsPerSecond: Double,
+        newJob: (Random, Int) -> JobSpec,
     ) {
         val random = Random(seed)
         val faultRates = FaultRates(lossy = 0.002, late = 0.002, copied = 0.02)
-        val cluster = SimulatedCluster(seed, faultRates, size, settings, { RECOVERY })
+        val cluster = SimulatedCluster(seed, faultRates, size, settings, { RECOVERY_TUNING })
         repeat(size.members) { cluster.startController(it) }
         var number = 0
-        var owed = 60.0
+        var dueJobs = 60.0
         for (second in 0 until 100) {
-            owed += arrivals
-            while (owed >= 1) {
-                val spec = job(random, number++)
+            dueJobs += jobsPerSecond
+            while (dueJobs >= 1) {
+                val spec = newJob(random, number++)
                 val cancelAfter = if (random.nextInt(20) == 0) random.nextInt(1, 40).seconds else null
                 cluster.submit(spec, cancelAfter)
-                owed--
+                dueJobs--
             }
-            trouble(cluster, random, second, size)
+            injectFaults(cluster, random, second, size)
             cluster.run(1.seconds)
         }
         val deadline = cluster.now() + 600.seconds
@@ -104,7 +109,7 @@
         assertTrue(cluster.starts > 10_000, "only ${cluster.starts} tasks started")
     }
 
-    private fun trouble(
+    private fun injectFaults(
         cluster: SimulatedCluster,
         random: Random,
         second: Int,
@@ -120,7 +125,7 @@
                 cluster.run(300.milliseconds)
                 repeat(size.members) { cluster.startController(it) }
             }
-            // Back within a fraction of a second, in the middle of the election.
+            // Restarts within a fraction of a second, in the middle of the election.
             48 -> {
                 cluster.stopController(0)
                 cluster.run(100.milliseconds)
@@ -133,6 +138,6 @@
     }
 
     private companion object {
-        val RECOVERY = Tuning(recovery = RecoveryTuning(track = true, returnMissing = true))
+        val RECOVERY_TUNING = Tuning(recovery = RecoveryTuning(track = true, returnMissing = true))
     }
 }
--- a/src/test/kotlin/umberslip/sim/DependencyFailuresTest.kt
+++ b/src/test/kotlin/umberslip/sim/DependencyFailuresTest.kt
@@ -3,10 +3,10 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** Jobs that others depend on end or are cancelled amid faults. */
+/** Faults occur while jobs that other jobs depend on complete or are cancelled. */
 class DependencyFailuresTest : CombinedFailures() {
     companion object {
-        /** Owners change, and jobs are called off, while needed jobs end. */
+        /** Leaders restart and jobs are cancelled while jobs that others depend on complete. */
         private val DEPENDENCIES =
             CombinedFailure(
                 18,
--- a/src/test/kotlin/umberslip/sim/EmptyFleetTest.kt
+++ b/src/test/kotlin/umberslip/sim/EmptyFleetTest.kt
@@ -7,12 +7,16 @@
 import kotlin.random.Random
 import kotlin.time.Duration.Companion.seconds
 
-/** Jobs of several placement constraints meet a deployment without a machine (docs/incidents/nothing-started.md). */
+/**
+ * Guards against an incident (docs/incidents/nothing-started.md): jobs with several placement constraints were
+ * submitted to a deployment without machines. Their constraints added up to a request that the cloud refused, so no job
+ * started.
+ */
 class EmptyFleetTest {
     @Test
-    fun `nothing is started since constraints add up to a request that the cloud refuses`() = (1..6).forEach(::play)
+    fun `jobs with several placement constraints start on an empty fleet`() = (1..6).forEach(::runScenario)
 
-    private fun play(seed: Int) {
+    private fun runScenario(seed: Int) {
         val size = ClusterSize(machinesPerOffer = 100, members = 7, pageItems = 500, changesKept = 10_000)
         val cluster = SimulatedCluster(seed, FaultRates(lossy = 0.0, late = 0.0), size, Fixtures::largeFleetJson)
         repeat(size.members, cluster::startController)
@@ -32,7 +36,7 @@
         assertTrue(cluster.starts > 1000, "only ${cluster.starts} tasks started")
     }
 
-    /** Every second job may not use spot instances. */
+    /** Returns a job of 100 tasks. Only jobs with an even [number] may use spot instances. */
     private fun job(
         random: Random,
         number: Int,
--- a/src/test/kotlin/umberslip/sim/LeaderFailuresTest.kt
+++ b/src/test/kotlin/umberslip/sim/LeaderFailuresTest.kt
@@ -3,7 +3,7 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** Leaders end, are cut off or frozen, beside other faults. */
+/** Leaders are stopped, isolated or frozen, in combination with other faults. */
 class LeaderFailuresTest : CombinedFailures() {
     companion object {
         private val TEN_LEADERS =
@@ -20,7 +20,7 @@
                 },
             )
 
-        /** Small jobs whose tasks end far apart, across changes of leader. */
+        /** The tasks of small jobs end at widely spaced times, with failovers in between. */
         private val STAGGERED_TASKS =
             CombinedFailure(
                 9,
@@ -49,7 +49,10 @@
                 },
             )
 
-        /** The leader keeps workers and users, and jobs are cancelled through its successor. */
+        /**
+         * The leader loses the key-value store and its peers, but keeps its workers and users. Jobs are cancelled
+         * through its successor.
+         */
         private val LEADER_ISOLATED =
             CombinedFailure(
                 12,
@@ -67,7 +70,10 @@
                 },
             )
 
-        /** The leader stands still for less or more than its lease and goes on, while jobs are cancelled elsewhere. */
+        /**
+         * The leader is frozen for less or more than the time of its lease and then continues. Jobs are cancelled
+         * through other controllers.
+         */
         private val LEADER_FROZEN =
             CombinedFailure(
                 22,
@@ -83,7 +89,10 @@
                 },
             )
 
-        /** It stands still inside an outage, which keeps its lease, and goes on after its workers' leases are over. */
+        /**
+         * The leader is frozen during an outage of the key-value store, in which its own lease does not expire. It
+         * continues after the leases of its workers have expired.
+         */
         private val LEADER_FROZEN_IN_OUTAGE =
             CombinedFailure(
                 23,
@@ -104,7 +113,10 @@
                 },
             )
 
-        /** Jobs are cancelled while it stands still; when it goes on the service is out, and its lease holds. */
+        /**
+         * Jobs are cancelled while the leader is frozen. When it continues, the key-value store is out and its lease is
+         * still valid.
+         */
         private val LEADER_FROZEN_INTO_OUTAGE =
             CombinedFailure(
                 24,
@@ -124,7 +136,10 @@
                 },
             )
 
-        /** One after the other goes on, with what it had read and decided before, beside late writes and heartbeats. */
+        /**
+         * All controllers are frozen in turn. Each continues with the state that it read and the decisions that it made
+         * before, while writes and heartbeats arrive late.
+         */
         private val ALL_FROZEN =
             CombinedFailure(
                 25,
@@ -144,7 +159,10 @@
                 },
             )
 
-        /** Frozen leaders meet their successors' ends, short freezes the middle of elections. */
+        /**
+         * A leader is frozen, and its successor restarts. A random controller is frozen for a short time in the middle
+         * of the election.
+         */
         private val FROZEN_IN_ELECTIONS =
             CombinedFailure(
                 26,
--- a/src/test/kotlin/umberslip/sim/LoneFaultyMachineTest.kt
+++ b/src/test/kotlin/umberslip/sim/LoneFaultyMachineTest.kt
@@ -7,7 +7,10 @@
 import kotlin.random.Random
 import kotlin.time.Duration.Companion.seconds
 
-/** One job, and one machine up that fails every task: which of the two is to blame shows only on another machine. */
+/**
+ * Runs one job while the only machine that is up fails every task. Only an attempt on another machine can show whether
+ * the job or the machine is faulty.
+ */
 class LoneFaultyMachineTest {
     @Test
     fun `a job is tried for ever on the only machine, which fails every task`() {
@@ -16,7 +19,7 @@
         assertEquals(outcomes.size, outcomes.count { it }, "jobs that finished within four minutes")
     }
 
-    /** Null where the first machine of this seed is sound. */
+    /** Returns whether the job finishes, or null if the first machine of this seed is not faulty. */
     private fun finishesOnFaultyMachine(seed: Int): Boolean? {
         val cluster =
             SimulatedCluster(seed, FaultRates(lossy = 0.0, late = 0.0), ClusterSize(5), Fixtures::settingsJson)
--- a/src/test/kotlin/umberslip/sim/MachineFailuresTest.kt
+++ b/src/test/kotlin/umberslip/sim/MachineFailuresTest.kt
@@ -3,7 +3,7 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** Machines, zones and heartbeats fail while leaders change and jobs are cancelled. */
+/** Machines and zones fail, and heartbeats are lost or late, while leaders change and jobs are cancelled. */
 class MachineFailuresTest : CombinedFailures() {
     companion object {
         private val LATE_HEARTBEATS =
@@ -37,7 +37,7 @@
                 },
             )
 
-        /** The leader ends while machines with long tasks don't hear its successor. */
+        /** The leader restarts while machines with long tasks receive no responses from its successor. */
         private val RESPONSES_LOST_AT_FAILOVER =
             CombinedFailure(
                 13,
@@ -56,7 +56,10 @@
                 },
             )
 
-        /** A team at its limit, a new leader, machines that can't be asked, and cancellations. */
+        /**
+         * Jobs of a team at its quota limit are cancelled during a failover, while some machines send no heartbeats or
+         * hang.
+         */
         private val QUOTA_LIMIT_AND_LOST_CONTACT =
             CombinedFailure(
                 14,
@@ -65,9 +68,9 @@
                 adaptJob = { job, _ -> job.copy(team = "blue") },
                 play = {
                     repeat(2) {
-                        val silent = cluster.upMachines().shuffled(random)
-                        silent.take(2).forEach { cluster.loseHeartbeats(it, 30.seconds) }
-                        silent.drop(2).take(1).forEach { cluster.hang(it, 9.seconds) }
+                        val machines = cluster.upMachines().shuffled(random)
+                        machines.take(2).forEach { cluster.loseHeartbeats(it, 30.seconds) }
+                        machines.drop(2).take(1).forEach { cluster.hang(it, 9.seconds) }
                         cancelSome(5)
                         restartLeader()
                         pause(20)
--- a/src/test/kotlin/umberslip/sim/ReelectionTest.kt
+++ b/src/test/kotlin/umberslip/sim/ReelectionTest.kt
@@ -9,16 +9,16 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * A controller that steps down and is elected again while calls of its former term are under way.
+ * A controller steps down and is elected again while calls of its previous term are in progress.
  *
- * A call to the cloud may last for 5 s, longer than the leader's lease of 4 s. The loop of the provisioner ended with
- * the first such call that succeeded (see ProvisioningRequestsTest): no line `machines provisioned` followed, and jobs
- * that came later waited for machines for ever.
+ * A call to the cloud may last for 5 s, longer than the leader's lease of 4 s. The first such call that succeeded ended
+ * the provisioner's loop (see ProvisioningRequestsTest): the log line `machines provisioned` did not appear again, and
+ * jobs that were submitted later waited for machines indefinitely.
  */
 class ReelectionTest {
     @ParameterizedTest
     @ValueSource(ints = [1, 2, 3, 4, 5, 6, 7, 8])
-    fun `machines are provisioned after every re-election within a call to the cloud`(seed: Int) {
+    fun `machines are provisioned after every re-election during a call to the cloud`(seed: Int) {
         val random = Random(seed)
         val cluster =
             SimulatedCluster(seed, FaultRates(lossy = 0.0, late = 0.0), ClusterSize(5), Fixtures::settingsJson)
--- a/src/test/kotlin/umberslip/sim/RulesTest.kt
+++ b/src/test/kotlin/umberslip/sim/RulesTest.kt
@@ -10,50 +10,53 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * The controllers' own code against stand-ins of everything outside, with generated crashes, cuts,
- * hangs, delays, repeats and outages; the protocol's rules are checked all the time.
+ * Runs the actual controllers against simulated external systems, with generated crashes, network cuts, hangs, delays,
+ * repeated messages and outages. The protocol's rules are checked all the time.
  */
 class RulesTest {
     @ParameterizedTest
     @ValueSource(ints = [1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16])
-    fun `rules hold whatever fails`(seed: Int) = check(seed, 1.0, ::anyFault)
+    fun `rules hold under random faults`(seed: Int) = checkRules(seed, 1.0, ::injectAnyFault)
 
-    /** Controllers of the cut zone renew leases; the cloud is away at times, so nothing is sure by a release. */
+    /**
+     * Controllers of the cut zone renew leases. The cloud is out at times, so a leader cannot always make sure that
+     * tasks have stopped by terminating their machine.
+     */
     @ParameterizedTest
     @ValueSource(ints = [101, 102, 103, 104, 105, 106, 107, 108, 109, 110, 111, 112])
-    fun `rules hold while zones cannot reach each other`(seed: Int) = check(seed, 6.0, ::zoneCuts)
+    fun `rules hold while zones cannot reach each other`(seed: Int) = checkRules(seed, 6.0, ::injectZoneCuts)
 
-    /** Alone, and mixed with all the others, on few machines and on many. */
+    /** Injects each of these faults alone, and mixed with all others, on few machines and on many. */
     @ParameterizedTest
     @ValueSource(ints = [201, 202, 203, 204, 205, 206, 207, 208, 209, 210, 211, 212, 213, 214, 215, 216])
-    fun `rules hold with lost responses, late copies, isolated controllers and quick returns`(seed: Int) {
-        val faults = listOf(::lostResponses, ::isolatedControllers, ::quickRestarts)
+    fun `rules hold with lost responses, late duplicates, isolated controllers and quick restarts`(seed: Int) {
+        val faults = listOf(::injectLostResponses, ::injectIsolation, ::injectQuickRestarts)
         val mixed = { cluster: SimulatedCluster, random: Random ->
             faults.random(random)(cluster, random)
-            if (random.nextInt(3) == 0) anyFault(cluster, random)
+            if (random.nextInt(3) == 0) injectAnyFault(cluster, random)
         }
-        check(
+        checkRules(
             seed,
             if (seed % 2 == 0) 1.0 else 4.0,
             faults.getOrElse(seed % 5) { mixed },
             copied = 0.05,
-            machines = if (seed % 3 == 0) 9 else 3,
+            machinesPerOffer = if (seed % 3 == 0) 9 else 3,
         )
     }
 
-    private fun check(
+    private fun checkRules(
         seed: Int,
         runTimeFactor: Double,
-        anyFault: (SimulatedCluster, Random) -> Unit,
+        injectFault: (SimulatedCluster, Random) -> Unit,
         copied: Double = 0.0,
-        machines: Int = 3,
+        machinesPerOffer: Int = 3,
     ) {
         val random = Random(seed)
         val cluster =
             SimulatedCluster(
                 seed,
                 FaultRates(lossy = 0.01, late = 0.01, copied = copied),
-                ClusterSize(machines),
+                ClusterSize(machinesPerOffer),
                 Fixtures::settingsJson,
             )
         for (i in 0..2) cluster.startController(i)
@@ -67,12 +70,12 @@
                     },
                     if (random.nextInt(5) == 0) random.nextInt(1, 40).seconds else null,
                 )
-                nextSubmission = cluster.now() + random.nextInt(1, 8).seconds * 3 / machines
+                nextSubmission = cluster.now() + random.nextInt(1, 8).seconds * 3 / machinesPerOffer
             }
-            anyFault(cluster, random)
+            injectFault(cluster, random)
             cluster.run(1.seconds)
         }
-        // Left in peace, everything that was accepted comes to its end.
+        // Without further faults, every accepted job ends.
         cluster.store.out = false
         cluster.cloudOut = false
         while (cluster.finishedJobs + cluster.cancelledJobs < cluster.acceptedJobs && cluster.now() < 3000.seconds) {
@@ -85,7 +88,7 @@
         assertEquals(cluster.acceptedJobs, ended, "jobs that ended; ${cluster.describe()}")
     }
 
-    private fun zoneCuts(
+    private fun injectZoneCuts(
         cluster: SimulatedCluster,
         random: Random,
     ) {
@@ -98,7 +101,7 @@
         }
     }
 
-    private fun lostResponses(
+    private fun injectLostResponses(
         cluster: SimulatedCluster,
         random: Random,
     ) {
@@ -107,7 +110,7 @@
         }
     }
 
-    private fun isolatedControllers(
+    private fun injectIsolation(
         cluster: SimulatedCluster,
         random: Random,
     ) {
@@ -115,12 +118,12 @@
         val time = random.nextInt(5, 90).seconds
         when (random.nextInt(50)) {
             0, 1 -> cluster.isolate(controller, time)
-            // It loses its workers only.
+            // The controller loses only its workers.
             2 -> listOf("east", "west").forEach { cluster.cut(controller, it, time) }
         }
     }
 
-    private fun quickRestarts(
+    private fun injectQuickRestarts(
         cluster: SimulatedCluster,
         random: Random,
     ) {
@@ -135,7 +138,7 @@
         }
     }
 
-    private fun anyFault(
+    private fun injectAnyFault(
         cluster: SimulatedCluster,
         random: Random,
     ) {
--- a/src/test/kotlin/umberslip/sim/StoreFailuresTest.kt
+++ b/src/test/kotlin/umberslip/sim/StoreFailuresTest.kt
@@ -3,12 +3,14 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** The key-value store refuses requests, loses responses or carries writes out late, beside other faults. */
+/**
+ * The key-value store refuses requests, loses responses or carries writes out late, in combination with other faults.
+ */
 class StoreFailuresTest : CombinedFailures() {
     companion object {
         /**
-         * The key-value store refuses the leader alone, another controller confirms cancellations, then it is down for
-         * all.
+         * The key-value store refuses only the leader's requests, and other controllers confirm cancellations. Then the
+         * store is out for all controllers.
          */
         private val CANCELLATION_GAP =
             CombinedFailure(
@@ -18,7 +20,7 @@
                 play = { repeat(2) { cancellationGap(cancelWithin = 0..1800) } },
             )
 
-        /** The same, with the cancellations at the very moment of the refusal. */
+        /** As [CANCELLATION_GAP], with the cancellations as soon as the refusals begin. */
         private val CANCELLATION_GAP_AT_ONCE =
             CombinedFailure(
                 1,
@@ -27,7 +29,7 @@
                 play = { repeat(2) { cancellationGap(cancelWithin = 0..100) } },
             )
 
-        /** The same, with machines that hang at the cancellation and go on within their lease. */
+        /** As [CANCELLATION_GAP], with machines that hang after the cancellations and continue within their lease. */
         private val CANCELLATION_GAP_WITH_HUNG_MACHINES =
             CombinedFailure(
                 2,
@@ -44,7 +46,10 @@
                 },
             )
 
-        /** The leader renews and does not hear of cancellations, since its reads fail; then all are out. */
+        /**
+         * The leader renews its lease but does not learn of cancellations, because its reads fail. Then the store is
+         * out for all controllers.
+         */
         private val READS_REFUSED =
             CombinedFailure(
                 3,
@@ -62,7 +67,10 @@
                 },
             )
 
-        /** Renewals come through slowly and others are served; the outage for all comes in between. */
+        /**
+         * The leader's renewals succeed only after a delay, while the store serves the other controllers. Outages for
+         * all controllers begin during these delays.
+         */
         private val REFUSED_AND_RETURNED =
             CombinedFailure(
                 17,
@@ -104,7 +112,7 @@
                 },
             )
 
-        /** Jobs end, and are cancelled, while writes about them are carried out late. */
+        /** Jobs end or are cancelled while writes about them are carried out late. */
         private val LATE_WRITES_AT_JOB_END =
             CombinedFailure(
                 5,
--- a/src/test/kotlin/umberslip/sim/UnreadableRecordsTest.kt
+++ b/src/test/kotlin/umberslip/sim/UnreadableRecordsTest.kt
@@ -13,12 +13,12 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Records that turn malformed under a running cluster, and a failover after it.
- *
- * The leader read such a record after a precondition on it had failed, and the exception ended the coroutine that
- * writes: no further batch was written, so no job started any more. Malformed slots of the log, and malformed progress
- * records, were overwritten with the next write, since only their version was looked at. The next leader deleted
- * the progress of a job whose own record it could not read.
+ * Records become malformed while the cluster runs, and a failover follows. These tests guard against three faults:
+ * - The leader read a malformed record after a precondition on it had failed, and the exception ended the coroutine
+ *   that writes. No further batch was written, so no job started any more.
+ * - The next write overwrote malformed slots of the log and malformed progress records, because only their version was
+ *   checked.
+ * - The next leader deleted the progress of a job whose own record it could not read.
  */
 class UnreadableRecordsTest {
     private val random = Random(1)
@@ -27,13 +27,13 @@
             for (controller in 0..2) cluster.startController(controller)
             cluster.run(10.seconds)
         }
-    private var submitted = 0
+    private var submittedJobs = 0
 
-    /** Not by simulated users, who would ask for it. */
-    private fun submit(change: (JobSpec) -> JobSpec = { it }): JobSpec {
+    /** Submits a job without the simulated users, who would poll its status. */
+    private fun submit(adaptJob: (JobSpec) -> JobSpec = { it }): JobSpec {
         val spec =
-            change(
-                Fixtures.unboundJob(random, ++submitted).copy(
+            adaptJob(
+                Fixtures.unboundJob(random, ++submittedJobs).copy(
                     tasks = 4,
                     priority = Priority.NORMAL,
                     expectedSeconds = 5.0,
@@ -49,7 +49,7 @@
         cluster.store.compareAndSwap(emptyList(), listOf(Write.Put(key, MALFORMED)))
     }
 
-    private fun assertLeftAlone(key: String) = assertEquals(MALFORMED, cluster.store.get(key)?.data, key)
+    private fun assertNotOverwritten(key: String) = assertEquals(MALFORMED, cluster.store.get(key)?.data, key)
 
     private fun statusCode(spec: JobSpec): Int = cluster.ask(0, "GET", "/api/jobs/${spec.id.value}", null).status
 
@@ -67,7 +67,7 @@
         cluster.run(10.seconds)
     }
 
-    /** Controllers that never saw the record while it could be read. */
+    /** Restarts all controllers, so that none of them has seen the record while it was readable. */
     private fun restartAll() {
         (0..2).forEach(cluster::stopController)
         cluster.run(10.seconds)
@@ -76,58 +76,58 @@
     }
 
     @Test
-    fun `a job whose record turns malformed is neither forgotten nor run, and the others run on`() {
-        val long = submit { it.copy(tasks = 400, cpus = 1.0, expectedSeconds = 8.0) }
+    fun `a job whose record becomes malformed is neither forgotten nor run, and other jobs run on`() {
+        val longJob = submit { it.copy(tasks = 400, cpus = 1.0, expectedSeconds = 8.0) }
         cluster.run(5.seconds)
-        corrupt(Keys.job(long.id))
+        corrupt(Keys.job(longJob.id))
         assertFinishes(submit())
-        assertEquals(503, statusCode(long))
+        assertEquals(503, statusCode(longJob))
         restartLeader()
         assertFinishes(submit())
-        assertEquals(503, statusCode(long))
-        assertLeftAlone(Keys.job(long.id))
+        assertEquals(503, statusCode(longJob))
+        assertNotOverwritten(Keys.job(longJob.id))
         assertTrue(cluster.violations.isEmpty(), cluster.violations.toString())
     }
 
     @Test
     fun `progress of a job with a malformed record is kept`() {
-        val long = submit { it.copy(tasks = 40, expectedSeconds = 200.0) }
+        val longJob = submit { it.copy(tasks = 40, expectedSeconds = 200.0) }
         cluster.run(45.seconds)
-        val progress = Keys.progress(long.id, 0)
-        assertNotNull(cluster.store.get(progress), "no progress stored after 45 s")
-        corrupt(Keys.job(long.id))
+        val progressKey = Keys.progress(longJob.id, 0)
+        assertNotNull(cluster.store.get(progressKey), "no progress stored after 45 s")
+        corrupt(Keys.job(longJob.id))
         restartAll()
-        assertEquals(503, statusCode(long), "neither absent nor known")
+        assertEquals(503, statusCode(longJob), "status code for a job with a malformed record")
         assertFinishes(submit())
-        assertNotNull(cluster.store.get(progress), "the progress record was deleted")
+        assertNotNull(cluster.store.get(progressKey), "the progress record was deleted")
     }
 
     @Test
-    fun `a malformed progress record is not overwritten, and the other jobs run on`() {
-        val long = submit { it.copy(tasks = 40, expectedSeconds = 30.0) }
+    fun `a malformed progress record is not overwritten, and other jobs run on`() {
+        val longJob = submit { it.copy(tasks = 40, expectedSeconds = 30.0) }
         cluster.run(45.seconds)
-        val progress = Keys.progress(long.id, 0)
-        corrupt(progress)
+        val progressKey = Keys.progress(longJob.id, 0)
+        corrupt(progressKey)
         assertFinishes(submit())
-        assertLeftAlone(progress)
+        assertNotOverwritten(progressKey)
         restartLeader()
         assertFinishes(submit())
-        assertLeftAlone(progress)
+        assertNotOverwritten(progressKey)
     }
 
     @Test
     fun `a malformed slot of the log is not overwritten, and jobs run on`() {
         assertFinishes(submit())
-        val slot = Keys.log(0)
-        assertNotNull(cluster.store.get(slot))
-        corrupt(slot)
+        val slotKey = Keys.log(0)
+        assertNotNull(cluster.store.get(slotKey))
+        corrupt(slotKey)
         repeat(3) { assertFinishes(submit()) }
-        assertLeftAlone(slot)
+        assertNotOverwritten(slotKey)
         restartLeader()
         repeat(3) { assertFinishes(submit()) }
         restartAll()
         repeat(3) { assertFinishes(submit()) }
-        assertLeftAlone(slot)
+        assertNotOverwritten(slotKey)
         assertTrue(cluster.violations.isEmpty(), cluster.violations.toString())
     }
 
--- a/src/test/kotlin/umberslip/sim/UpgradeFailuresTest.kt
+++ b/src/test/kotlin/umberslip/sim/UpgradeFailuresTest.kt
@@ -3,12 +3,16 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** Controllers are replaced by ones with other limits, and the key-value store's limits fall, amid faults. */
+/**
+ * Controllers are replaced by ones with other limits, and the key-value store lowers its limits, in combination with
+ * other faults.
+ */
 class UpgradeFailuresTest : CombinedFailures() {
     companion object {
         /**
-         * Controllers that know nothing of later limits, and are not asked for anything new, are replaced one by
-         * one; leaders of both kinds follow one another on large values and small ones. Then the limits fall.
+         * Controllers that do not know of later limits are replaced one by one. Until all are replaced, no job uses a
+         * newer feature. Leaders of both versions alternate, on large values and small ones. Then the store lowers its
+         * limits.
          */
         private val UPGRADE =
             CombinedFailure(
@@ -21,7 +25,8 @@
                     for (i in listOf(0, 1, 2)) {
                         replace(i, Fixtures::loweredJson)
                         pause(7)
-                        // One dies before its turn, and comes back as it was; so does the leader, whichever it is.
+                        // Controller 2 restarts with the old settings before its own upgrade. The current leader,
+                        // which may have either version, restarts as well.
                         if (i < 2) replace(2, Fixtures::roomyJson)
                         restartLeader()
                         pause(7)
@@ -35,7 +40,10 @@
                 },
             )
 
-        /** All controllers end at once halfway through an upgrade while zones are cut; then back, and all anew. */
+        /**
+         * All controllers stop at once halfway through an upgrade, while the zones are cut from one another. The
+         * upgrade is rolled back and then done again.
+         */
         private val UPGRADE_ROLLED_BACK =
             CombinedFailure(
                 28,
@@ -72,7 +80,7 @@
                 },
             )
 
-        /** The limits fall while jobs of many tasks are half done, in an outage, at a change of leader. */
+        /** The store lowers its limits during an outage and a failover, while jobs with many tasks are half done. */
         private val LIMITS_LOWERED =
             CombinedFailure(
                 29,
--- a/src/test/kotlin/umberslip/sim/WaitingWorkAlertTest.kt
+++ b/src/test/kotlin/umberslip/sim/WaitingWorkAlertTest.kt
@@ -6,10 +6,10 @@
 import kotlin.random.Random
 import kotlin.time.Duration.Companion.seconds
 
-/** What operators are paged by while work waits for machines (docs/operations.md). */
+/** Checks the metrics that page operators while jobs wait for machines (docs/operations.md). */
 class WaitingWorkAlertTest {
     @Test
-    fun `nobody is paged for work that waits in an outage of the cloud since some machines are up`() {
+    fun `operators are paged for jobs that wait in an outage of the cloud while some machines are up`() {
         val cluster = SimulatedCluster(3, FaultRates(lossy = 0.0, late = 0.0), ClusterSize(20), Fixtures::settingsJson)
         repeat(3, cluster::startController)
         cluster.run(10.seconds)
