--- a/src/test/kotlin/umberslip/compatibility/FormatCompatibilityTest.kt
+++ b/src/test/kotlin/umberslip/compatibility/FormatCompatibilityTest.kt
@@ -30,9 +30,9 @@
 import java.util.BitSet
 
 /**
- * The stored records and peer frames of released versions, kept as the bytes that checkouts of those commits wrote
- * (`src/test/resources/compatibility`). This version must decode them, and must encode the same values to the same
- * bytes, since those versions read what it writes during an upgrade.
+ * Checks compatibility with the stored records and peer frames of released versions. The files in
+ * `src/test/resources/compatibility` hold the bytes that checkouts of those commits wrote. This version must decode
+ * them and must encode the same values to the same bytes, because those versions read what it writes during an upgrade.
  */
 class FormatCompatibilityTest {
     private val submitted = Instant.ofEpochMilli(1_790_000_000_123)
@@ -63,7 +63,7 @@
     private val plainArray = gang.copy(id = JobId("run-000413"), shape = Shape.ARRAY)
     private val dependentArray = plainArray.copy(dependencies = listOf(JobId("run-000398"), JobId("run-000405")))
 
-    private val block =
+    private val progress =
         ProgressRecord(
             done = BitSet().apply { listOf(0, 9, 17).forEach(::set) },
             placed =
@@ -95,7 +95,7 @@
             "frame-pong-refused" to PeerFrame.Pong("solm-1", false),
         )
 
-    /** A record that both versions have: its value, how it is decoded and how it is encoded. */
+    /** The value of a record that all these versions have, with its decoder and encoder. */
     private class Sample<T>(
         val value: T,
         val decode: (Any?) -> T,
@@ -106,7 +106,7 @@
         mapOf(
             "job" to Sample(JobRecord(gang, submitted, false), JobRecord::parse, JobRecord::toMap),
             "job-cancelled" to Sample(JobRecord(gang, submitted, true), JobRecord::parse, JobRecord::toMap),
-            "chunk" to Sample(block, ProgressRecord::parse, ProgressRecord::toMap),
+            "chunk" to Sample(progress, ProgressRecord::parse, ProgressRecord::toMap),
             "log" to Sample(logEntry, LogRecord::parse, LogRecord::toMap),
             "owner" to Sample(LeaderRecord("solm-1", Term(4), StoreLease(9)), LeaderRecord::parse, LeaderRecord::toMap),
             "end-done" to Sample(OutcomeRecord(JobOutcome.DONE, 16), OutcomeRecord::parse, OutcomeRecord::toMap),
@@ -134,7 +134,7 @@
 
     private fun writeCbor(record: Map<String, Any?>): String = Documents.writeCbor(record).toByteString().hex()
 
-    private fun <T> check(
+    private fun <T> checkSample(
         name: String,
         sample: Sample<T>,
         hex: String,
@@ -146,18 +146,18 @@
     @ParameterizedTest
     @ValueSource(strings = ["823f3f9", "6fbfec1"])
     fun `records of released versions are decoded, and are encoded to the same bytes`(commit: String) {
-        val written = fixtures(commit)
-        for ((name, sample) in records) check(name, sample, written.getValue(name))
+        val hexByName = fixtures(commit)
+        for ((name, sample) in records) checkSample(name, sample, hexByName.getValue(name))
     }
 
     @ParameterizedTest
     @ValueSource(strings = ["823f3f9", "6fbfec1"])
     fun `peer frames of released versions are decoded, and are encoded to the same bytes`(commit: String) {
-        val written = fixtures(commit)
+        val hexByName = fixtures(commit)
         for ((name, frame) in frames) {
-            val bytes = written.getValue(name).decodeHex()
+            val bytes = hexByName.getValue(name).decodeHex()
             val received = Buffer().write(bytes)
-            assertEquals(received.readInt().toLong(), received.size, "$name has its length first")
+            assertEquals(received.readInt().toLong(), received.size, "$name starts with its length")
             assertEquals(frame, PeerFrame.decode(received), "$name is decoded")
             assertEquals(bytes, frame.encode().readByteString(), "$name is encoded to the same bytes")
         }
@@ -166,15 +166,15 @@
     @Test
     fun `a job with dependencies is stored as the first version with dependencies stored it`() {
         val sample = Sample(JobRecord(dependentArray, submitted, false), JobRecord::parse, JobRecord::toMap)
-        check("job-awaiting", sample, fixtures("6fbfec1").getValue("job-awaiting"))
+        checkSample("job-awaiting", sample, fixtures("6fbfec1").getValue("job-awaiting"))
     }
 
     @Test
     fun `the version in production ignores the dependencies of a job`() {
-        val written = fixtures("823f3f9")
+        val hexByName = fixtures("823f3f9")
         val plain = Sample(JobRecord(plainArray, submitted, false), JobRecord::parse, JobRecord::toMap)
-        check("job-awaiting", plain, written.getValue("job-awaiting"))
-        // What a checkout of that commit made of the bytes above that carry the field.
-        check("job-awaiting-reread", plain, written.getValue("job-awaiting-reread"))
+        checkSample("job-awaiting", plain, hexByName.getValue("job-awaiting"))
+        // What a checkout of that commit wrote after reading the record of the test above, which has dependencies.
+        checkSample("job-awaiting-reread", plain, hexByName.getValue("job-awaiting-reread"))
     }
 }
--- a/src/test/kotlin/umberslip/loopback/CborServer.kt
+++ b/src/test/kotlin/umberslip/loopback/CborServer.kt
@@ -7,7 +7,7 @@
 import java.net.InetSocketAddress
 import java.net.URLDecoder
 
-/** A request to a stand-in, with its query. */
+/** A request to a loopback server, with its decoded query parameters. */
 class CborRequest(
     val method: String,
     val path: String,
@@ -22,16 +22,19 @@
     val body: Any?,
 )
 
-/** Serves CBOR over real sockets, one request after the other, with another HTTP implementation than the program's. */
+/**
+ * A server that exchanges CBOR over real sockets and handles one request at a time. Its HTTP implementation is a
+ * different one from that of the controllers.
+ */
 class CborServer(
-    private val answer: (CborRequest) -> CborAnswer,
+    private val handler: (CborRequest) -> CborAnswer,
 ) : AutoCloseable {
     private val server: HttpServer
 
     val address: InetSocketAddress get() = server.address
 
     init {
-        // Without it, each answer waits for a delayed acknowledgement.
+        // Without TCP_NODELAY, each response waits for a delayed acknowledgement.
         System.setProperty("sun.net.httpserver.nodelay", "true")
         server = HttpServer.create(InetSocketAddress("127.0.0.1", 0), BACKLOG)
         server.createContext("/", ::handle)
@@ -45,7 +48,7 @@
                 it.substringBefore('=') to URLDecoder.decode(it.substringAfter('='), Charsets.UTF_8)
             }
         val request = CborRequest(exchange.requestMethod, uri.path, query, exchange.requestBody.readAllBytes())
-        val answer = answer(request)
+        val answer = handler(request)
         val bytes = Documents.writeCbor(answer.body)
         exchange.sendResponseHeaders(answer.status, bytes.size.toLong())
         exchange.responseBody.use { it.write(bytes) }
--- a/src/test/kotlin/umberslip/loopback/ControllerProcesses.kt
+++ b/src/test/kotlin/umberslip/loopback/ControllerProcesses.kt
@@ -8,20 +8,20 @@
 import java.nio.file.Path
 import java.util.concurrent.TimeUnit
 
-/** The actual controllers as processes of their own, each with a settings file and a log file. */
+/** The actual controllers as separate processes, each with its own settings file and log file. */
 class ControllerProcesses(
     count: Int,
     private val directory: Path,
     private val extraArguments: List<String>,
-    settings: (member: Int, bind: List<InetSocketAddress>, peers: List<InetSocketAddress>) -> String,
+    settingsJson: (member: Int, bind: List<InetSocketAddress>, peers: List<InetSocketAddress>) -> String,
 ) : AutoCloseable {
-    private val free = freeAddresses(count * 2)
-    val addresses = free.take(count)
-    private val peers = free.drop(count)
-    private val configurations =
+    private val allAddresses = freeAddresses(count * 2)
+    val addresses = allAddresses.take(count)
+    private val peers = allAddresses.drop(count)
+    private val settingsFiles =
         List(count) { member ->
             directory.resolve("settings-$member.json").also {
-                Files.writeString(it, settings(member, addresses, peers))
+                Files.writeString(it, settingsJson(member, addresses, peers))
             }
         }
     private val processes = arrayOfNulls<Process>(count)
@@ -31,7 +31,7 @@
         val command =
             listOf(java, "-Xmx96m", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1") +
                 listOf("-cp", System.getProperty("java.class.path"), "umberslip.cli.MainKt", "serve") +
-                extraArguments + listOf("--config", configurations[member].toString())
+                extraArguments + listOf("--config", settingsFiles[member].toString())
         processes[member] =
             ProcessBuilder(command)
                 .redirectErrorStream(true)
@@ -42,18 +42,18 @@
     fun startAll() = processes.indices.forEach(::start)
 
     fun kill(member: Int) {
-        processes[member]?.destroyForcibly()?.waitFor(KILL_SECONDS, TimeUnit.SECONDS)
+        processes[member]?.destroyForcibly()?.waitFor(KILL_TIMEOUT_SECONDS, TimeUnit.SECONDS)
         processes[member] = null
     }
 
     fun killAll() = processes.indices.forEach(::kill)
 
-    fun settingsFile(member: Int): Path = configurations[member]
+    fun settingsFile(member: Int): Path = settingsFiles[member]
 
     private fun logFile(member: Int): File = directory.resolve("controller-$member.log").toFile()
 
-    /** The last lines of each controller's log, for a failed test's message. */
-    fun logs(): String =
+    /** Returns the last lines of each controller's log, for the message of a failed test. */
+    fun recentLogs(): String =
         processes.indices.joinToString("\n") { member ->
             "controller $member:\n" +
                 logFile(member)
@@ -66,10 +66,13 @@
     override fun close() = killAll()
 
     private companion object {
-        const val KILL_SECONDS = 10L
+        const val KILL_TIMEOUT_SECONDS = 10L
         const val LOG_LINES = 15
 
-        /** Below those that the system gives to connections, which could be taken while a controller is down. */
+        /**
+         * Ports below the system's ephemeral range. An ephemeral port could be assigned to another connection while a
+         * controller is down.
+         */
         val PORTS = 20_000..30_000
 
         fun freeAddresses(count: Int): List<InetSocketAddress> =
--- a/src/test/kotlin/umberslip/loopback/FullRestartTest.kt
+++ b/src/test/kotlin/umberslip/loopback/FullRestartTest.kt
@@ -10,24 +10,24 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * All controllers, as processes, are killed and started anew while the workers run on. Leases are longer than any
- * restart takes, and the checks are of counts and order, so a slow machine changes nothing.
+ * Kills and restarts all controllers, which are separate processes, while the workers keep running. Leases are longer
+ * than any restart, and only counts and order are checked, so a slow machine does not change the result.
  */
 class FullRestartTest {
     @TempDir
     lateinit var directory: Path
 
-    private fun scenario(): RestartScenario {
-        val tuning = directory.resolve("recovery.toml")
-        Files.writeString(tuning, "[recovery]\ntrack = true\nreturn_missing = true\n")
+    private fun newScenario(): RestartScenario {
+        val tuningFile = directory.resolve("recovery.toml")
+        Files.writeString(tuningFile, "[recovery]\ntrack = true\nreturn_missing = true\n")
         val size = ScenarioSize(machines = 10, jobs = 4, tasksPerJob = 30, taskSeconds = 16.0)
-        return RestartScenario(size, directory, listOf("--tuning", tuning.toString()))
+        return RestartScenario(size, directory, listOf("--tuning", tuningFile.toString()))
     }
 
-    /** Submits everything and waits until much of it runs. */
-    private fun RestartScenario.fill() {
+    /** Submits all jobs and waits until [MIN_RUNNING_TASKS] tasks run. */
+    private fun RestartScenario.startTasks() {
         submitAll()
-        awaitUntil("$ENOUGH_TASKS tasks run") { workers.running() >= ENOUGH_TASKS }
+        awaitUntil("$MIN_RUNNING_TASKS tasks run") { workers.runningCount() >= MIN_RUNNING_TASKS }
     }
 
     private fun RestartScenario.awaitCompletedRecovery() =
@@ -35,96 +35,103 @@
             recovery().exitCode == RecoveryStatus.COMPLETED.exitCode
         }
 
-    private fun RestartScenario.awaitJobs() = awaitUntil("every job is done") { jobs.all { status(it) == "done" } }
+    private fun RestartScenario.awaitJobsDone() = awaitUntil("all jobs done") { jobs.all { statusOf(it) == "done" } }
 
-    /** No task ran on two machines, after its end was recorded, or a second time unless it may have. */
-    private fun RestartScenario.checkRuns(mayRunAgain: Set<String> = emptySet()) {
+    /**
+     * Checks that every task ran, none on two machines at once, after its exit was recorded, or a second time unless it
+     * is in [mayRunAgain]. No lease may have expired, and no worker may have received a stop command.
+     */
+    private fun RestartScenario.checkTaskRuns(mayRunAgain: Set<String> = emptySet()) {
         val events = workers.events()
         val starts = events.filterIsInstance<WorkerEvent.TaskStarted>()
-        assertEquals(0, events.count { it is WorkerEvent.LeaseExpired }, "leases are long enough for any machine")
-        assertEquals(emptyList<WorkerEvent>(), starts.filter { it.machineCount > 1 }, "on two machines at once")
-        assertEquals(emptyList<WorkerEvent>(), starts.filter { it.exitWasRecorded }, "its end was recorded")
+        assertEquals(0, events.count { it is WorkerEvent.LeaseExpired }, "leases that expired")
+        assertEquals(emptyList<WorkerEvent>(), starts.filter { it.machineCount > 1 }, "started on two machines at once")
+        assertEquals(emptyList<WorkerEvent>(), starts.filter { it.exitWasRecorded }, "started after a recorded exit")
         val runs = starts.groupingBy { it.task }.eachCount()
-        assertEquals(emptySet<String>(), runs.filterValues { it > 1 }.keys - mayRunAgain, "started again")
-        assertEquals(jobs.sumOf { it.tasks }, runs.size, "every task ran")
+        assertEquals(emptySet<String>(), runs.filterValues { it > 1 }.keys - mayRunAgain, "started more than once")
+        assertEquals(jobs.sumOf { it.tasks }, runs.size, "tasks that ran")
         assertEquals(emptyList<WorkerEvent>(), events.filter { it is WorkerEvent.CommandReceived && it.verb == "stop" })
     }
 
     @Test
-    fun `running tasks are adopted, also of workers that send no heartbeat until after the first decisions`() {
-        scenario().use { scenario ->
-            scenario.fill()
+    fun `running tasks are adopted, also from workers that send no heartbeat until after new tasks start`() {
+        newScenario().use { scenario ->
+            scenario.startTasks()
             scenario.controllers.killAll()
             val killedAt = scenario.workers.now()
-            val unresponsive = scenario.workers.names().take(2)
-            val theirTasks = scenario.workers.tasksOn(unresponsive)
-            assertTrue(theirTasks.isNotEmpty(), "the unresponsive workers have tasks")
+            val unresponsive = scenario.workers.machineNames().take(2)
+            val unresponsiveTasks = scenario.workers.tasksOn(unresponsive)
+            assertTrue(unresponsiveTasks.isNotEmpty(), "the unresponsive workers have tasks")
             scenario.workers.pauseHeartbeats(unresponsive, 3600.seconds)
-            scenario.awaitUntil("nobody leads") { scenario.recovery().exitCode == RecoveryStatus.NO_LEADER.exitCode }
-            val atTheRestart = directory.resolve("before.zst")
-            scenario.saveRecords(atTheRestart)
+            scenario.awaitUntil("no leader left") { scenario.recovery().exitCode == RecoveryStatus.NO_LEADER.exitCode }
+            val beforeRestart = directory.resolve("before.zst")
+            scenario.saveRecords(beforeRestart)
             scenario.controllers.startAll()
-            scenario.awaitUntil("the others are adopted") {
-                scenario.recovery().leader()?.long("unheard_machines") == 2L
+            scenario.awaitUntil("all other workers are heard") {
+                scenario.recovery().leaderReport()?.long("unheard_machines") == 2L
             }
             assertEquals("recovering", scenario.recovery().status)
-            scenario.awaitUntil("new work starts") {
+            scenario.awaitUntil("new tasks start") {
                 scenario.workers.events().any { it is WorkerEvent.TaskStarted && it.at > killedAt }
             }
             scenario.workers.pauseHeartbeats(unresponsive, 0.seconds)
             scenario.awaitCompletedRecovery()
             val recovery = scenario.recovery()
-            val accounted =
-                listOf("adopted", "end_unrecorded", "not_reported", "not_reported_cancelled").sumOf(recovery::finding)
-            assertEquals(recovery.leader()?.long("recorded_tasks"), accounted, "every recorded start is accounted for")
-            assertEquals(0L, recovery.leader()?.long("lost_tasks"))
-            assertTrue(accounted >= theirTasks.size)
-            val completed = directory.resolve("after.zst")
-            scenario.saveRecords(completed)
-            val change = scenario.compareRecords(atTheRestart, completed)
-            assertEquals(emptyList<String>(), change.textsOrNull("started_again"))
-            assertEquals(recovery.leader()?.long("recorded_tasks"), change.map("tasks").run { COUNTED.sumOf(::long) })
-            scenario.awaitJobs()
-            scenario.checkRuns()
+            val accountedTasks =
+                listOf("adopted", "end_unrecorded", "not_reported", "not_reported_cancelled")
+                    .sumOf(recovery::findingCount)
+            assertEquals(recovery.leaderReport()?.long("recorded_tasks"), accountedTasks, "starts accounted for")
+            assertEquals(0L, recovery.leaderReport()?.long("lost_tasks"))
+            assertTrue(accountedTasks >= unresponsiveTasks.size)
+            val afterRecovery = directory.resolve("after.zst")
+            scenario.saveRecords(afterRecovery)
+            val comparison = scenario.compareRecords(beforeRestart, afterRecovery)
+            assertEquals(emptyList<String>(), comparison.textsOrNull("started_again"))
+            assertEquals(
+                recovery.leaderReport()?.long("recorded_tasks"),
+                comparison.map("tasks").run { OUTCOME_COUNTS.sumOf(::long) },
+            )
+            scenario.awaitJobsDone()
+            scenario.checkTaskRuns()
         }
     }
 
     @Test
-    fun `controllers that are killed again during the recovery, and come back one by one, start nothing twice`() {
-        scenario().use { scenario ->
-            scenario.fill()
+    fun `controllers that are killed again during recovery, and restart one by one, start no task twice`() {
+        newScenario().use { scenario ->
+            scenario.startTasks()
             repeat(3) { round ->
                 scenario.controllers.killAll()
                 scenario.controllers.start(round)
-                scenario.awaitUntil("controller $round leads") { scenario.recovery().leader() != null }
+                scenario.awaitUntil("controller $round leads") { scenario.recovery().leaderReport() != null }
             }
             scenario.controllers.start(0)
-            scenario.awaitJobs()
-            scenario.checkRuns()
+            scenario.awaitJobsDone()
+            scenario.checkTaskRuns()
         }
     }
 
     @Test
-    fun `tasks of machines interrupted while all controllers are down start again, and no others do`() {
-        scenario().use { scenario ->
-            scenario.fill()
+    fun `tasks of machines interrupted while all controllers are down start again, and no other tasks do`() {
+        newScenario().use { scenario ->
+            scenario.startTasks()
             scenario.controllers.killAll()
-            val machines = scenario.workers.names()
+            val machines = scenario.workers.machineNames()
             val interrupted = machines.take(machines.size * 2 / 3)
-            val lost = scenario.workers.tasksOn(interrupted)
-            assertTrue(lost.isNotEmpty(), "tasks are lost")
+            val lostTasks = scenario.workers.tasksOn(interrupted)
+            assertTrue(lostTasks.isNotEmpty(), "tasks are lost")
             scenario.cloud.interrupt(interrupted)
             scenario.controllers.startAll()
             scenario.awaitCompletedRecovery()
-            scenario.awaitJobs()
-            scenario.checkRuns(mayRunAgain = lost)
+            scenario.awaitJobsDone()
+            scenario.checkTaskRuns(mayRunAgain = lostTasks)
         }
     }
 
     private companion object {
-        const val ENOUGH_TASKS = 40
+        const val MIN_RUNNING_TASKS = 40
 
-        /** What became of the starts that were recorded at the restart. */
-        val COUNTED = listOf("ran_on", "started_again", "not_placed", "job_ended")
+        /** The fields of a comparison that count the outcomes of the starts recorded before the restart. */
+        val OUTCOME_COUNTS = listOf("ran_on", "started_again", "not_placed", "job_ended")
     }
 }
--- a/src/test/kotlin/umberslip/loopback/LoopbackCloud.kt
+++ b/src/test/kotlin/umberslip/loopback/LoopbackCloud.kt
@@ -10,7 +10,7 @@
 import kotlin.time.DurationUnit
 import kotlin.time.TimeSource
 
-/** The cloud's published protocol over real sockets; its list lags, and machines may vanish from it. */
+/** A server of the cloud's published protocol over real sockets. Its list lags, and machines can be interrupted. */
 class LoopbackCloud(
     private val capacity: Int,
     private val listLag: Duration,
@@ -27,92 +27,92 @@
 
     private val origin = TimeSource.Monotonic.markNow()
     private val instances = LinkedHashMap<MachineName, Instance>()
-    private val answersByRequest = HashMap<String, List<String>>()
+    private val machinesByRequest = HashMap<String, List<String>>()
 
-    /** Requests beyond the protocol's limits, which were answered 400. */
+    /** Descriptions of the requests that exceeded the protocol's limits and were answered with 400. */
     private val refusals = ArrayList<String>()
-    private val server = CborServer { synchronized(this) { answer(it) } }
+    private val server = CborServer { synchronized(this) { handle(it) } }
 
     val address get() = server.address
 
     fun refusals(): List<String> = synchronized(this) { refusals.toList() }
 
-    /** When each machine was rented, since the start. */
+    /** Returns when each machine was provisioned, as the time since the start of this cloud. */
     fun provisionedAt(): List<Duration> = synchronized(this) { instances.values.map { it.provisionedAt } }
 
     fun now(): Duration = origin.elapsedNow()
 
-    /** Takes machines back with no notice. */
+    /** Terminates machines without notice. */
     fun interrupt(machineNames: Collection<MachineName>) = synchronized(this) { machineNames.forEach(::terminate) }
 
     private fun terminate(machineName: MachineName) {
-        val machine = instances[machineName] ?: return
-        if (machine.terminatedAt != null) return
-        machine.terminatedAt = now()
+        val instance = instances[machineName] ?: return
+        if (instance.terminatedAt != null) return
+        instance.terminatedAt = now()
         onTerminate(machineName)
     }
 
-    private fun answer(request: CborRequest): CborAnswer =
+    private fun handle(request: CborRequest): CborAnswer =
         when {
-            request.path == "/flavors" -> CborAnswer(200, mapOf("hosttypes" to ClusterSize.SMALL.map(::instanceType)))
-            request.path == "/rentals" && request.method == "GET" -> list(request.query)
+            request.path == "/flavors" -> CborAnswer(200, mapOf("hosttypes" to ClusterSize.SMALL.map(::typeFields)))
+            request.path == "/rentals" && request.method == "GET" -> listMachines(request.query)
             request.path == "/rentals" -> provision(request.fields())
             request.path == "/rentals/release" -> terminate(request.fields())
             else -> CborAnswer(404, mapOf("error" to "no such path"))
         }
 
-    private fun instanceType(it: InstanceType) =
+    private fun typeFields(type: InstanceType) =
         mapOf(
-            "label" to it.label,
-            "vcpus" to it.cpus,
-            "memory_gb" to it.memoryGb,
-            "pull_gb_per_s" to it.fetchGbPerSecond,
-            "rate" to it.price,
-            "market_price" to it.spotPrice,
-            "boot_s" to it.boot.toDouble(DurationUnit.SECONDS),
-            "halls" to it.zones,
+            "label" to type.label,
+            "vcpus" to type.cpus,
+            "memory_gb" to type.memoryGb,
+            "pull_gb_per_s" to type.fetchGbPerSecond,
+            "rate" to type.price,
+            "market_price" to type.spotPrice,
+            "boot_s" to type.boot.toDouble(DurationUnit.SECONDS),
+            "halls" to type.zones,
         )
 
-    private fun refused(violation: String): CborAnswer {
+    private fun refuse(violation: String): CborAnswer {
         refusals += violation
         return CborAnswer(400, mapOf("error" to violation))
     }
 
     private fun terminate(fields: Fields): CborAnswer {
         val machineNames = fields.textsOrNull("hosts").orEmpty().map(::MachineName)
-        ProtocolLimits.termination(machineNames)?.let { return refused(it) }
+        ProtocolLimits.termination(machineNames)?.let { return refuse(it) }
         machineNames.forEach(::terminate)
         return CborAnswer(200, emptyMap<String, Any?>())
     }
 
     private fun provision(fields: Fields): CborAnswer {
-        val request = fields.text("hire")
+        val requestName = fields.text("hire")
         val offer = Offer(fields.text("hosttype"), fields.text("hall"), fields.flag("reclaimable"))
-        val wanted = fields.long("number").toInt()
-        ProtocolLimits.provisioning(offer, wanted, ClusterSize.SMALL)?.let { return refused(it) }
-        answersByRequest[request]?.let { return CborAnswer(200, mapOf("hosts" to it)) }
+        val requested = fields.long("number").toInt()
+        ProtocolLimits.provisioning(offer, requested, ClusterSize.SMALL)?.let { return refuse(it) }
+        machinesByRequest[requestName]?.let { return CborAnswer(200, mapOf("hosts" to it)) }
         val available = capacity - instances.values.count { it.terminatedAt == null }
-        val number = minOf(wanted, available)
+        val number = minOf(requested, available)
         if (number <= 0) return CborAnswer(503, mapOf("error" to "no capacity"))
         val names = List(number) { MachineName("host-%06d".format(instances.size + it)) }
         for (name in names) {
             instances[name] = Instance(name, offer, now())
             onBoot(name, offer)
         }
-        return CborAnswer(200, mapOf("hosts" to names.map { it.value }.also { answersByRequest[request] = it }))
+        return CborAnswer(200, mapOf("hosts" to names.map { it.value }.also { machinesByRequest[requestName] = it }))
     }
 
-    private fun list(query: Map<String, String>): CborAnswer {
+    private fun listMachines(query: Map<String, String>): CborAnswer {
         val pageSize = query["page"]?.toInt() ?: ProtocolLimits.MACHINES_PER_PAGE
-        if (pageSize > ProtocolLimits.MACHINES_PER_PAGE) return refused("a list with pages of $pageSize")
+        if (pageSize > ProtocolLimits.MACHINES_PER_PAGE) return refuse("a list with pages of $pageSize")
         val asOf = now() - listLag
         val after = query["after"].orEmpty()
-        val following =
+        val matching =
             instances.values.filter {
                 it.name.value > after && it.provisionedAt <= asOf && asOf < (it.terminatedAt ?: Duration.INFINITE)
             }
-        val listed = following.take(pageSize)
-        val machineNames =
+        val listed = matching.take(pageSize)
+        val hosts =
             listed.map {
                 mapOf(
                     "uid" to it.name.value,
@@ -124,7 +124,7 @@
                     "age_s" to (asOf - it.provisionedAt).toDouble(DurationUnit.SECONDS),
                 )
             }
-        return CborAnswer(200, mapOf("hosts" to machineNames, "has_next" to (following.size > listed.size)))
+        return CborAnswer(200, mapOf("hosts" to hosts, "has_next" to (matching.size > listed.size)))
     }
 
     override fun close() = server.close()
--- a/src/test/kotlin/umberslip/loopback/LoopbackKeyValueStore.kt
+++ b/src/test/kotlin/umberslip/loopback/LoopbackKeyValueStore.kt
@@ -16,22 +16,22 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.TimeSource
 
-/** The key-value store's published protocol over real sockets; what it keeps outlives all controllers. */
+/** A server of the key-value store's published protocol over real sockets. Its data outlives all controllers. */
 class LoopbackKeyValueStore(
     private val limits: StoreSettings,
 ) : AutoCloseable {
     private val origin = TimeSource.Monotonic.markNow()
     private val size = ClusterSize(0, pageItems = 500, changesKept = 10_000)
-    private val stored = InMemoryKeyValueStore(size) { origin.elapsedNow() }
+    private val store = InMemoryKeyValueStore(size) { origin.elapsedNow() }
 
-    /** Transactions beyond the protocol's limits, which were answered 400. */
+    /** Descriptions of the transactions that exceeded the protocol's limits and were answered with 400. */
     val refusals: MutableList<String> = CopyOnWriteArrayList()
-    private val server = CborServer(::answer)
+    private val server = CborServer(::handle)
 
     val address get() = server.address
 
-    private fun answer(request: CborRequest): CborAnswer {
-        stored.expire()
+    private fun handle(request: CborRequest): CborAnswer {
+        store.expire()
         val path = request.path
         return when {
             path == "/txn" -> commit(request.fields())
@@ -39,29 +39,34 @@
             path.startsWith(KEYS) -> get(path.removePrefix(KEYS))
             path == "/changes" -> changes(request.query)
             path == "/holds" -> openLease(request.fields())
-            path.startsWith(HOLDS) -> lease(request)
+            path.startsWith(HOLDS) -> renewOrEndLease(request)
             else -> CborAnswer(404, mapOf("error" to "no such path"))
         }
     }
 
     private fun get(key: String): CborAnswer {
-        val entry = stored.get(key) ?: return CborAnswer(404, mapOf("epoch" to 0))
-        return CborAnswer(200, entry(entry))
+        val entry = store.get(key) ?: return CborAnswer(404, mapOf("epoch" to 0))
+        return CborAnswer(200, entryFields(entry))
     }
 
-    private fun entry(it: Entry) = mapOf("path" to it.key, "data" to it.data, "stamp" to it.version.value)
+    private fun entryFields(entry: Entry) =
+        mapOf(
+            "path" to entry.key,
+            "data" to entry.data,
+            "stamp" to entry.version.value,
+        )
 
     private fun list(query: Map<String, String>): CborAnswer {
-        val page = stored.list(query.getValue("under"), query["after"])
+        val page = store.list(query.getValue("under"), query["after"])
         return CborAnswer(
             200,
-            mapOf("entries" to page.entries.map(::entry), "has_next" to page.more, "epoch" to page.revision),
+            mapOf("entries" to page.entries.map(::entryFields), "has_next" to page.more, "epoch" to page.revision),
         )
     }
 
     private fun changes(query: Map<String, String>): CborAnswer {
         val changes =
-            stored.changes(query.getValue("under"), query.getValue("after").toLong())
+            store.changes(query.getValue("under"), query.getValue("after").toLong())
                 ?: return CborAnswer(410, mapOf("error" to "too old"))
         val events =
             changes.changes.map {
@@ -95,7 +100,7 @@
             refusals += it
             return CborAnswer(400, mapOf("error" to it))
         }
-        return when (val result = stored.compareAndSwap(preconditions, writes)) {
+        return when (val result = store.compareAndSwap(preconditions, writes)) {
             is TransactionResult.Applied -> CborAnswer(200, mapOf("epoch" to result.version.value))
             is TransactionResult.PreconditionFailed -> CborAnswer(409, mapOf("failed" to result.failed, "epoch" to 0))
             TransactionResult.LeaseExpired -> CborAnswer(400, mapOf("error" to "no such lease"))
@@ -104,21 +109,21 @@
     }
 
     private fun openLease(fields: Fields): CborAnswer {
-        val lease = stored.open(fields.long("ttl_ms").milliseconds)
+        val lease = store.open(fields.long("ttl_ms").milliseconds)
         return CborAnswer(200, mapOf("hold" to lease.id))
     }
 
-    private fun lease(request: CborRequest): CborAnswer {
+    private fun renewOrEndLease(request: CborRequest): CborAnswer {
         val id =
             request.path
                 .removePrefix(HOLDS)
                 .substringBefore('/')
                 .toLong()
         if (request.method == "DELETE") {
-            stored.end(id)
+            store.end(id)
             return CborAnswer(200, emptyMap<String, Any?>())
         }
-        return CborAnswer(if (stored.renew(StoreLease(id))) 200 else 404, emptyMap<String, Any?>())
+        return CborAnswer(if (store.renew(StoreLease(id))) 200 else 404, emptyMap<String, Any?>())
     }
 
     override fun close() = server.close()
--- a/src/test/kotlin/umberslip/loopback/LoopbackWorkers.kt
+++ b/src/test/kotlin/umberslip/loopback/LoopbackWorkers.kt
@@ -26,7 +26,7 @@
 import kotlin.time.Duration.Companion.seconds
 import kotlin.time.TimeSource
 
-/** What all workers were told and did, in order of time. */
+/** A command that a worker received, or something that happened on it. */
 sealed interface WorkerEvent {
     val at: Duration
 
@@ -40,18 +40,18 @@
         override val at: Duration,
         val task: String,
         val machineCount: Int,
-        /** Its end had been recorded before. */
+        /** Whether the task's exit had been recorded before this start. */
         val exitWasRecorded: Boolean,
     ) : WorkerEvent
 
-    /** Its lease ran out, and its tasks were killed. */
+    /** A worker's lease expired, and its [tasks] tasks were killed. */
     data class LeaseExpired(
         override val at: Duration,
         val tasks: Int,
     ) : WorkerEvent
 }
 
-/** Workers that outlive the controllers; all of them in this process, each with its own sessions and leases. */
+/** Workers that outlive the controllers. All of them run in this process, each with its own epochs and leases. */
 class LoopbackWorkers(
     private val controllers: List<InetSocketAddress>,
     private val heartbeatInterval: Duration,
@@ -82,11 +82,11 @@
     private val group = MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory())
     private val thread = group.next().asCoroutineDispatcher()
     private val scope = CoroutineScope(thread + SupervisorJob())
-    private val clients = controllers.map { HttpClient(group, it, MAX_BODY) }
+    private val clients = controllers.map { HttpClient(group, it, MAX_BODY_BYTES) }
     private val workers = LinkedHashMap<MachineName, Worker>()
     private val events = ArrayList<WorkerEvent>()
 
-    /** Tasks whose end some controller has recorded, since it had the worker clear them. */
+    /** Tasks whose exit a controller has recorded, as its command to clear them shows. */
     private val recordedExits = HashSet<String>()
     private val specs = ConcurrentHashMap<String, JobSpec>()
 
@@ -96,21 +96,24 @@
         specs[spec.id.value] = spec
     }
 
-    private fun <T> onThread(what: () -> T): T = runBlocking { withContext(thread) { what() } }
+    private fun <T> onThread(block: () -> T): T = runBlocking { withContext(thread) { block() } }
 
     fun events(): List<WorkerEvent> = onThread { events.toList() }
 
-    fun running(): Int = onThread { workers.values.sumOf { w -> w.tasks.values.count { it.status == "running" } } }
+    fun runningCount(): Int =
+        onThread {
+            workers.values.sumOf { worker -> worker.tasks.values.count { it.status == "running" } }
+        }
 
-    /** What runs, or has ended and is not cleared, on these machines. */
+    /** Returns the tasks on these machines that run, or that have exited and are not cleared. */
     fun tasksOn(machineNames: Collection<MachineName>): Set<String> =
         onThread {
             machineNames.flatMapTo(HashSet()) { workers[it]?.tasks?.keys.orEmpty() }
         }
 
-    fun names(): List<MachineName> = onThread { workers.values.filter { !it.isTerminated }.map { it.name } }
+    fun machineNames(): List<MachineName> = onThread { workers.values.filter { !it.isTerminated }.map { it.name } }
 
-    /** They run on, and report nothing for a while. */
+    /** Pauses the heartbeats of these machines for [time]; their tasks keep running. */
     fun pauseHeartbeats(
         machineNames: Collection<MachineName>,
         time: Duration,
@@ -125,7 +128,7 @@
             val worker = Worker(name, offer)
             worker.leaseRenewedAt = now()
             workers[name] = worker
-            launch { run(worker) }
+            launch { runTasks(worker) }
             while (!worker.isTerminated) {
                 if (now() >= worker.pausedUntil) heartbeat(worker)
                 delay(heartbeatInterval)
@@ -142,7 +145,7 @@
         }
     }
 
-    private suspend fun run(worker: Worker) {
+    private suspend fun runTasks(worker: Worker) {
         while (!worker.isTerminated) {
             delay(TICK)
             worker.tasks.values
@@ -157,22 +160,22 @@
     }
 
     private suspend fun heartbeat(worker: Worker) {
-        val sent = now()
+        val sentAt = now()
         val epoch = worker.epoch
         worker.sequenceNumber++
         val reply = send(worker) ?: return redirect(worker, null)
         if (reply.status != 200) return redirect(worker, reply.fields().textOrNull("dispatcher"))
-        if (worker.isTerminated || worker.epoch != epoch || now() - sent > RESPONSE_TIMEOUT) return
+        if (worker.isTerminated || worker.epoch != epoch || now() - sentAt > RESPONSE_TIMEOUT) return
         val fields = reply.fields()
         if (fields.long("warrant") < worker.fencingToken) return
         worker.fencingToken = fields.long("warrant")
-        worker.leaseRenewedAt = sent
+        worker.leaseRenewedAt = sentAt
         fields.maps("orders").forEach { execute(worker, it) }
     }
 
     private suspend fun send(worker: Worker): Reply? =
         try {
-            clients[worker.target].call(HttpMethod.POST, "/agent/beat", body(worker), RESPONSE_TIMEOUT)
+            clients[worker.target].call(HttpMethod.POST, "/agent/beat", heartbeatOf(worker), RESPONSE_TIMEOUT)
         } catch (_: ServiceUnavailableException) {
             null
         } catch (_: NoResponseException) {
@@ -181,13 +184,13 @@
 
     private fun redirect(
         worker: Worker,
-        named: String?,
+        controllerName: String?,
     ) {
-        val next = named?.substringAfterLast('-')?.toIntOrNull()
+        val next = controllerName?.substringAfterLast('-')?.toIntOrNull()
         worker.target = next ?: ((worker.target + 1) % controllers.size)
     }
 
-    private fun body(worker: Worker) =
+    private fun heartbeatOf(worker: Worker) =
         mapOf(
             "host" to worker.name.value,
             "endpoint" to "127.0.0.1:1",
@@ -210,13 +213,13 @@
     ) {
         val name = command.text("piece")
         val attempt = command.long("try")
-        val here = worker.tasks[name]
+        val task = worker.tasks[name]
         events += WorkerEvent.CommandReceived(now(), command.text("verb"), name)
         when (command.text("verb")) {
-            "start" -> if (here == null) start(worker, name, attempt)
-            "stop" -> if (here?.attempt == attempt) worker.tasks.remove(name)
+            "start" -> if (task == null) start(worker, name, attempt)
+            "stop" -> if (task?.attempt == attempt) worker.tasks.remove(name)
             "clear" ->
-                if (here?.attempt == attempt && here.status == "ended") {
+                if (task?.attempt == attempt && task.status == "ended") {
                     worker.tasks.remove(name)
                     recordedExits += name
                 }
@@ -240,11 +243,11 @@
     }
 
     private companion object {
-        const val MAX_BODY = 1 shl 20
+        const val MAX_BODY_BYTES = 1 shl 20
         val TICK = 50.milliseconds
         val BOOT_TIME = 300.milliseconds
 
-        /** Answers that come later than that are dropped, as the protocol says. */
+        /** Workers drop responses that arrive later than this, as the protocol requires. */
         val RESPONSE_TIMEOUT = 4.seconds
     }
 }
--- a/src/test/kotlin/umberslip/loopback/RestartMeasurement.kt
+++ b/src/test/kotlin/umberslip/loopback/RestartMeasurement.kt
@@ -7,7 +7,10 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** A restart of all controllers that takes [downSeconds], with a part of the machines lost meanwhile. */
+/**
+ * The parameters of a measured restart: all controllers are down for [downSeconds], and [interruptedPercent] percent of
+ * the machines are interrupted meanwhile.
+ */
 private class MeasurementPlan(
     arguments: Array<String>,
 ) {
@@ -18,8 +21,8 @@
     val downSeconds = arguments[4].toInt()
     val interruptedPercent = arguments[5].toInt()
 
-    /** The operators' settings file, if any. */
-    val options = arguments.drop(6).flatMap { listOf("--tuning", it) }
+    /** The command-line option with the operators' settings file, if one is given. */
+    val tuningOption = arguments.drop(6).flatMap { listOf("--tuning", it) }
 
     val size =
         ScenarioSize(
@@ -40,40 +43,40 @@
  */
 fun main(arguments: Array<String>) {
     val plan = MeasurementPlan(arguments)
-    RestartScenario(plan.size, Files.createTempDirectory("restart"), plan.options).use { scenario ->
+    RestartScenario(plan.size, Files.createTempDirectory("restart"), plan.tuningOption).use { scenario ->
         scenario.submitAll()
         val nearlyAllTasks = plan.jobs * plan.tasksPerJob * 95 / 100
-        scenario.awaitUntil("nearly all tasks run") { scenario.workers.running() >= nearlyAllTasks }
+        scenario.awaitUntil("nearly all tasks run") { scenario.workers.runningCount() >= nearlyAllTasks }
         printRecordSizes(scenario)
-        val names = scenario.workers.names().shuffled(Random(1))
+        val machineNames = scenario.workers.machineNames().shuffled(Random(1))
         scenario.controllers.killAll()
-        val running = scenario.workers.running()
-        val provisionedBefore = scenario.cloud.provisionedAt().size
-        scenario.cloud.interrupt(names.take(names.size * plan.interruptedPercent / 100))
+        val runningTasks = scenario.workers.runningCount()
+        val provisionedCountBefore = scenario.cloud.provisionedAt().size
+        scenario.cloud.interrupt(machineNames.take(machineNames.size * plan.interruptedPercent / 100))
         Thread.sleep(plan.downSeconds * 1000L)
         val restartedAt = scenario.workers.now()
         scenario.controllers.startAll()
         Thread.sleep(110_000)
-        val leader = scenario.recovery().leader()
-        println("${names.size} machines, $running tasks ran, down ${plan.downSeconds} s")
+        val leader = scenario.recovery().leaderReport()
+        println("${machineNames.size} machines, $runningTasks tasks ran, down ${plan.downSeconds} s")
         println("  ${plan.interruptedPercent} % of the machines interrupted")
-        println("  options ${plan.options}; leader: ${leader?.raw()}")
+        println("  options ${plan.tuningOption}; leader: ${leader?.raw()}")
         printEvents(scenario.workers.events(), restartedAt)
-        println("  provisioned in 110 s: ${scenario.cloud.provisionedAt().size - provisionedBefore}")
+        println("  provisioned in 110 s: ${scenario.cloud.provisionedAt().size - provisionedCountBefore}")
     }
 }
 
-/** What the records take as they are kept, and compressed as a checkpoint might be. */
+/** Prints the sizes of the records as they are stored, and compressed as they could be in a checkpoint. */
 private fun printRecordSizes(scenario: RestartScenario) {
     val file = Files.createTempFile("records", ".zst")
     scenario.saveRecords(file)
     val entries = ArchiveFile.read(file).entries
 
-    fun bytes(prefix: String): Int =
+    fun bytesUnder(prefix: String): Int =
         entries
             .filter { it.key.startsWith(prefix) }
             .sumOf { Documents.jsonSize(it.data) }
-    println("records: ${entries.size}, jobs ${bytes("u/job/")} bytes, log ${bytes("u/log/")} bytes")
+    println("records: ${entries.size}, jobs ${bytesUnder("u/job/")} bytes, log ${bytesUnder("u/log/")} bytes")
     println("  all of them compressed: ${Files.size(file)} bytes")
 }
 
@@ -88,8 +91,8 @@
     println("  commands in the first minute: ${commands.groupingBy { it.verb }.eachCount()}")
     println("  first command after ${commands.minOfOrNull { it.at }?.minus(restartedAt)}")
     println("  first start after ${commands.filter { it.verb == "start" }.minOfOrNull { it.at }?.minus(restartedAt)}")
-    println("  on two machines at once: ${starts.count { it.machineCount > 1 }}")
-    println("  begun after their recorded end: ${starts.count { it.exitWasRecorded }}")
-    println("  started more than once: ${starts.groupingBy { it.task }.eachCount().count { it.value > 1 }}")
-    println("  leases that ran out: ${leasesExpired.size} with ${leasesExpired.sumOf { it.tasks }} tasks")
+    println("  starts on two machines at once: ${starts.count { it.machineCount > 1 }}")
+    println("  starts after the recorded exit of the task: ${starts.count { it.exitWasRecorded }}")
+    println("  tasks started more than once: ${starts.groupingBy { it.task }.eachCount().count { it.value > 1 }}")
+    println("  leases that expired: ${leasesExpired.size} with ${leasesExpired.sumOf { it.tasks }} tasks")
 }
--- a/src/test/kotlin/umberslip/loopback/RestartScenario.kt
+++ b/src/test/kotlin/umberslip/loopback/RestartScenario.kt
@@ -27,7 +27,7 @@
 import kotlin.time.Duration.Companion.seconds
 import kotlin.time.DurationUnit
 
-/** How large a restart on loopback is, and how long its workers' leases are. */
+/** The size and timing of a restart on loopback. */
 class ScenarioSize(
     val machines: Int,
     val jobs: Int,
@@ -38,35 +38,38 @@
     val listLag: Duration = 1.seconds,
 )
 
-/** What `umberslip recovery --json` printed, and its exit code. */
-class RecoveryAnswer(
+/** The output and the exit code of `umberslip recovery --json`. */
+class RecoveryOutput(
     val exitCode: Int,
     private val json: Fields,
 ) {
     val status: String get() = json.text("status")
 
-    /** What the leader of the highest term says; null where none answered. */
-    fun leader(): Fields? =
+    /** Returns the recovery report of the leader with the highest term, or null if no leader answered. */
+    fun leaderReport(): Fields? =
         json
             .maps("controllers")
             .filter { it.has("recovery") }
             .map { it.map("recovery") }
             .maxByOrNull { it.long("term") }
 
-    fun finding(name: String): Long = leader()?.map("findings")?.takeIf { it.has(name) }?.long(name) ?: 0
+    fun findingCount(name: String): Long = leaderReport()?.map("findings")?.takeIf { it.has(name) }?.long(name) ?: 0
 }
 
-/** Three controllers as processes, and around them workers, cloud and key-value store that outlive them all. */
+/** Three controller processes, with workers, a cloud and a key-value store that outlive them. */
 class RestartScenario(
     private val size: ScenarioSize,
     directory: Path,
-    arguments: List<String> = emptyList(),
+    extraArguments: List<String> = emptyList(),
 ) : AutoCloseable {
     private val storeLimits =
         StoreSettings(rps = 500.0, writeRps = 200.0, valueBytes = 8 * 1024, transactionOps = 24)
     private val store = LoopbackKeyValueStore(storeLimits)
 
-    /** Set last: workers need the controllers' addresses, and the cloud boots workers only once it is asked to. */
+    /**
+     * Initialized last, because workers need the controllers' addresses. The cloud boots workers only once a controller
+     * requests machines.
+     */
     lateinit var workers: LoopbackWorkers
         private set
     val cloud: LoopbackCloud =
@@ -76,7 +79,7 @@
             { name, offer -> workers.boot(name, offer) },
             { workers.terminate(it) },
         )
-    val controllers = ControllerProcesses(CONTROLLERS, directory, arguments, ::settings)
+    val controllers = ControllerProcesses(CONTROLLERS, directory, extraArguments, ::settingsJson)
     private val group = MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory())
     private val clients = controllers.addresses.map { HttpClient(group, it, 1 shl 20) }
     val jobs: List<JobSpec> = List(size.jobs, ::job)
@@ -94,19 +97,19 @@
             deadlineSeconds = null,
         )
 
-    private fun settings(
+    private fun settingsJson(
         member: Int,
         bind: List<InetSocketAddress>,
         peers: List<InetSocketAddress>,
     ): String {
-        val known =
+        val peerEntries =
             peers.indices.filter { it != member }.joinToString {
-                """{"member":"c-$it","area":"${area(it)}","addr":"${text(peers[it])}"}"""
+                """{"member":"c-$it","area":"${area(it)}","addr":"${hostAndPort(peers[it])}"}"""
             }
         val seconds = { time: Duration -> time.toDouble(DurationUnit.SECONDS) }
-        return """{"member":"c-$member","area":"${area(member)}","bind":"${text(bind[member])}",
-            "peer_listen":"${text(peers[member])}","known":[$known],
-            "endpoints":{"cloud":"${text(cloud.address)}","state":"${text(store.address)}"},
+        return """{"member":"c-$member","area":"${area(member)}","bind":"${hostAndPort(bind[member])}",
+            "peer_listen":"${hostAndPort(peers[member])}","known":[$peerEntries],
+            "endpoints":{"cloud":"${hostAndPort(cloud.address)}","state":"${hostAndPort(store.address)}"},
             "settings":{"nodes":$CONTROLLERS,"zones":["east","west"],
             "teams":[{"name":"green","cpus":0.0,"cpus_max":0.0,"gpus":0.0,"gpus_max":0.0}],
             "objectives":[{"kind":"finished","class":"batch","within_s":60.0,"share":0.9}],
@@ -118,36 +121,36 @@
             "quota":{"cpu":0.25,"ram_mb":200.0,"sockets":2000},"skew_ms":25.0}}"""
     }
 
-    private fun text(address: InetSocketAddress) = "${address.hostString}:${address.port}"
+    private fun hostAndPort(address: InetSocketAddress) = "${address.hostString}:${address.port}"
 
     private fun area(member: Int) = if (member % 2 == 0) "east" else "west"
 
-    /** Submits every job, to any controller that takes it. */
+    /** Submits each job to any controller that accepts it. */
     fun submitAll() {
         for (spec in jobs) {
             workers.upload(spec)
-            awaitUntil("job ${spec.id.value} accepted") {
+            awaitUntil("job ${spec.id.value} is accepted") {
                 ask(HttpMethod.POST, "/api/jobs", spec.toMap())?.first in setOf(200, 201)
             }
         }
     }
 
-    /** The recovery as an operator reads it who names every controller. */
-    fun recovery(): RecoveryAnswer {
+    /** Runs `umberslip recovery --json` with the addresses of all controllers, as an operator does. */
+    fun recovery(): RecoveryOutput {
         val out = StringWriter()
-        val addresses = controllers.addresses.flatMap { listOf("--controller", text(it)) }
+        val addresses = controllers.addresses.flatMap { listOf("--controller", hostAndPort(it)) }
         val arguments = listOf("recovery", "--json", "--config", controllers.settingsFile(0).toString()) + addresses
         val exitCode = Umberslip.commandLine().setOut(PrintWriter(out)).execute(*arguments.toTypedArray())
-        return RecoveryAnswer(exitCode, Fields.of(Documents.readJson(out.toString())))
+        return RecoveryOutput(exitCode, Fields.of(Documents.readJson(out.toString())))
     }
 
     /** Saves the records into an archive, as an operator does. */
     fun saveRecords(file: Path) {
         val arguments = listOf("records", "save", "--config", controllers.settingsFile(0).toString(), file.toString())
-        check(Toolbox.commandLine().execute(*arguments.toTypedArray()) == 0) { "the records were not saved" }
+        check(Toolbox.commandLine().execute(*arguments.toTypedArray()) == 0) { "the command `records save` failed" }
     }
 
-    /** What became of the work between two archives. */
+    /** Compares two archives of records with `records compare`, and returns its output. */
     fun compareRecords(
         before: Path,
         after: Path,
@@ -161,8 +164,8 @@
         return Fields.of(Documents.readJson(out.toString()))
     }
 
-    /** What a job's user is told; null while nobody answers. */
-    fun status(spec: JobSpec): String? =
+    /** Returns the status that a job's user gets, or null if no controller returns one. */
+    fun statusOf(spec: JobSpec): String? =
         ask(HttpMethod.GET, "/api/jobs/${spec.id.value}", null)?.let { (status, body) ->
             if (status == 200) (body as Map<*, *>)["status"] as String else null
         }
@@ -179,17 +182,17 @@
                 null
             } catch (_: NoResponseException) {
                 null
-            }?.takeIf { it.first < SERVER_ERRORS }
+            }?.takeIf { it.first < FIRST_SERVER_ERROR }
         }
 
-    /** Waits for an event, with a bound far beyond what it takes: speed decides nothing. */
+    /** Waits until [condition] is met. The time-out is far longer than needed, so speed does not affect the result. */
     fun awaitUntil(
-        what: String,
-        holds: () -> Boolean,
+        description: String,
+        condition: () -> Boolean,
     ) {
-        val deadline = workers.now() + BOUND
-        while (!holds()) {
-            check(workers.now() < deadline) { "not within $BOUND: $what\n${controllers.logs()}" }
+        val deadline = workers.now() + AWAIT_TIMEOUT
+        while (!condition()) {
+            check(workers.now() < deadline) { "not within $AWAIT_TIMEOUT: $description\n${controllers.recentLogs()}" }
             Thread.sleep(POLL_MILLIS)
         }
     }
@@ -201,13 +204,13 @@
         store.close()
         group.shutdownGracefully(0, 1, java.util.concurrent.TimeUnit.SECONDS).sync()
         val refusals = cloud.refusals() + store.refusals
-        check(refusals.isEmpty()) { "requests beyond the protocol's limits: ${refusals.take(5)}" }
+        check(refusals.isEmpty()) { "requests exceeded the limits of the protocol: ${refusals.take(5)}" }
     }
 
     companion object {
         const val CONTROLLERS = 3
-        private const val SERVER_ERRORS = 500
+        private const val FIRST_SERVER_ERROR = 500
         private const val POLL_MILLIS = 50L
-        private val BOUND = 180.seconds
+        private val AWAIT_TIMEOUT = 180.seconds
     }
 }
