--- a/src/test/kotlin/umberslip/loopback/LoopbackCloud.kt
+++ b/src/test/kotlin/umberslip/loopback/LoopbackCloud.kt
@@ -54,7 +54,7 @@
 
     private fun handle(request: CborRequest): CborAnswer =
         when {
-            request.path == "/flavors" -> CborAnswer(200, mapOf("hosttypes" to ClusterSize.SMALL.map(::typeFields)))
+            request.path == "/flavors" -> CborAnswer(200, mapOf("hosttypes" to ClusterSize.TYPES.map(::typeFields)))
             request.path == "/rentals" && request.method == "GET" -> listMachines(request.query)
             request.path == "/rentals" -> provision(request.fields())
             request.path == "/rentals/release" -> terminate(request.fields())
@@ -80,7 +80,7 @@
 
     private fun terminate(fields: Fields): CborAnswer {
         val machineNames = fields.textsOrNull("hosts").orEmpty().map(::MachineName)
-        ProtocolLimits.termination(machineNames)?.let { return refuse(it) }
+        ProtocolLimits.terminationViolation(machineNames)?.let { return refuse(it) }
         machineNames.forEach(::terminate)
         return CborAnswer(200, emptyMap<String, Any?>())
     }
@@ -89,7 +89,7 @@
         val requestName = fields.text("hire")
         val offer = Offer(fields.text("hosttype"), fields.text("hall"), fields.flag("reclaimable"))
         val requested = fields.long("number").toInt()
-        ProtocolLimits.provisioning(offer, requested, ClusterSize.SMALL)?.let { return refuse(it) }
+        ProtocolLimits.provisioningViolation(offer, requested, ClusterSize.TYPES)?.let { return refuse(it) }
         machinesByRequest[requestName]?.let { return CborAnswer(200, mapOf("hosts" to it)) }
         val available = capacity - instances.values.count { it.terminatedAt == null }
         val number = minOf(requested, available)
--- a/src/test/kotlin/umberslip/loopback/LoopbackKeyValueStore.kt
+++ b/src/test/kotlin/umberslip/loopback/LoopbackKeyValueStore.kt
@@ -60,7 +60,7 @@
         val page = store.list(query.getValue("under"), query["after"])
         return CborAnswer(
             200,
-            mapOf("entries" to page.entries.map(::entryFields), "has_next" to page.more, "epoch" to page.revision),
+            mapOf("entries" to page.entries.map(::entryFields), "has_next" to page.hasMore, "epoch" to page.revision),
         )
     }
 
@@ -96,7 +96,7 @@
                     Write.Put(key, data, lease)
                 }
             }
-        ProtocolLimits.transaction(preconditions, writes, limits)?.let {
+        ProtocolLimits.transactionViolation(preconditions, writes, limits)?.let {
             refusals += it
             return CborAnswer(400, mapOf("error" to it))
         }
@@ -104,7 +104,7 @@
             is TransactionResult.Applied -> CborAnswer(200, mapOf("epoch" to result.version.value))
             is TransactionResult.PreconditionFailed -> CborAnswer(409, mapOf("failed" to result.failed, "epoch" to 0))
             TransactionResult.LeaseExpired -> CborAnswer(400, mapOf("error" to "no such lease"))
-            is TransactionResult.Rejected -> CborAnswer(400, mapOf("error" to result.why))
+            is TransactionResult.Rejected -> CborAnswer(400, mapOf("error" to result.reason))
         }
     }
 
--- a/src/test/kotlin/umberslip/sim/RulesTest.kt
+++ b/src/test/kotlin/umberslip/sim/RulesTest.kt
@@ -77,7 +77,7 @@
         }
         // Without further faults, every accepted job ends.
         cluster.store.out = false
-        cluster.cloudOut = false
+        cluster.isCloudUnavailable = false
         while (cluster.finishedJobs + cluster.cancelledJobs < cluster.acceptedJobs && cluster.now() < 3000.seconds) {
             cluster.run(20.seconds)
         }
@@ -96,8 +96,8 @@
             0, 1 -> cluster.cutZones(random.nextInt(20, 120).seconds)
             2, 3 -> cluster.upMachines().randomOrNull(random)?.let { cluster.hang(it, random.nextInt(5, 40).seconds) }
             4 -> restart(cluster, random.nextInt(3), random)
-            5, 6 -> cluster.cloudOut = true
-            7 -> cluster.cloudOut = false
+            5, 6 -> cluster.isCloudUnavailable = true
+            7 -> cluster.isCloudUnavailable = false
         }
     }
 
