--- a/src/main/kotlin/umberslip/cloud/Cloud.kt
+++ b/src/main/kotlin/umberslip/cloud/Cloud.kt
@@ -6,18 +6,18 @@
 import umberslip.http.ServiceUnavailableException
 
 /**
- * The cloud by its published protocol. Every call may throw [ServiceUnavailableException] (refused for now),
- * [RequestRejectedException] (refused for what it asks) or [NoResponseException] (indeterminate: carried out or not, or
- * later).
+ * The cloud, as its published protocol describes it. Every call may throw [ServiceUnavailableException] (the request
+ * was refused for now), [RequestRejectedException] (the request was rejected because of its content) or
+ * [NoResponseException] (the outcome is indeterminate: the request may have been carried out, or may yet be).
  */
 interface Cloud {
-    /** What the cloud offers, at present prices. */
+    /** Returns the instance types that the cloud offers, at current prices. */
     suspend fun instanceTypes(): List<InstanceType>
 
     /**
-     * Provisions up to [number] machines and returns those that there are now; null where there is no capacity. The
-     * [name] identifies the request: one that was carried out has the same result when it is repeated, and no other
-     * may ever have its name.
+     * Provisions up to [number] machines and returns the provisioned ones; null if there is no capacity. The [name]
+     * identifies the request: a request that was carried out returns the same result when it is repeated. No other
+     * request may ever use the same name.
      */
     suspend fun provision(
         name: String,
@@ -25,9 +25,9 @@
         number: Int,
     ): List<MachineName>?
 
-    /** Once it returns, the machines and everything on them are terminated. Unknown names are ignored. */
+    /** Terminates machines: when it returns, they and everything on them are terminated. Unknown names are ignored. */
     suspend fun terminate(machineNames: List<MachineName>)
 
-    /** All machines, as of a time in the past: the list lags behind the cloud's own state. */
+    /** Returns all machines as of a time in the past, because the list lags behind the cloud's actual state. */
     suspend fun listMachines(): List<ListedMachine>
 }
--- a/src/main/kotlin/umberslip/cloud/CloudLimits.kt
+++ b/src/main/kotlin/umberslip/cloud/CloudLimits.kt
@@ -1,6 +1,6 @@
 package umberslip.cloud
 
-/** How much the cloud takes in one request, by its published protocol. */
+/** The limits of one request according to the cloud's published protocol. */
 object CloudLimits {
     /** The most machines that one request may ask for; the least is one. */
     const val MACHINES_PER_REQUEST = 50
--- a/src/main/kotlin/umberslip/cloud/CloudModel.kt
+++ b/src/main/kotlin/umberslip/cloud/CloudModel.kt
@@ -4,7 +4,7 @@
 import umberslip.core.Resources
 import kotlin.time.Duration
 
-/** A kind of machine as the cloud describes it; prices are per hour. [boot] is the usual time until it is up. */
+/** A type of machine as the cloud describes it. Prices are per hour; [boot] is the usual time until a machine is up. */
 data class InstanceType(
     val label: String,
     val cpus: Double,
@@ -16,11 +16,11 @@
     val boot: Duration,
     val zones: List<String>,
 ) {
-    /** All that a machine of this type has to offer. */
+    /** The total resources of a machine of this type. */
     val resources: Resources get() = Resources(cpus, gpus, memoryGb)
 }
 
-/** What can be provisioned: an instance type in a zone, as a spot instance or an ordinary machine. */
+/** A choice for provisioning: an instance type in a zone, as a spot instance or as an ordinary machine. */
 data class Offer(
     val type: String,
     val zone: String,
@@ -32,11 +32,11 @@
     BOOTING,
     RUNNING,
 
-    /** It stopped on its own, costs nothing, and is listed until it is terminated. */
+    /** The machine stopped on its own. It costs nothing and is listed until it is terminated. */
     FAILED,
 }
 
-/** A machine in the cloud's list; [age] is the time from its request to when the list was true. */
+/** A machine in the cloud's list. [age] is the time from its request to the moment that the list describes. */
 data class ListedMachine(
     val name: MachineName,
     val type: String,
--- a/src/main/kotlin/umberslip/cloud/CloudProtocol.kt
+++ b/src/main/kotlin/umberslip/cloud/CloudProtocol.kt
@@ -1,6 +1,6 @@
 package umberslip.cloud
 
-/** The paths, names and values of the cloud's protocol. No other file holds them. */
+/** The paths, field names and values of the cloud's protocol. No other file contains them. */
 internal object CloudProtocol {
     const val INSTANCE_TYPES_PATH = "/flavors"
     const val MACHINES_PATH = "/rentals"
@@ -32,11 +32,11 @@
     const val AGE_SECONDS = "age_s"
     const val HAS_NEXT_PAGE = "has_next"
 
-    // A refusal.
+    // An error response.
     const val ERROR = "error"
     const val NO_CAPACITY = "no capacity"
 
-    /** A status that is not known counts as running. */
+    /** Parses the status of a machine; an unknown status counts as running. */
     fun machineStatus(name: String): MachineStatus =
         when (name) {
             "booting" -> MachineStatus.BOOTING
@@ -44,7 +44,9 @@
             else -> MachineStatus.RUNNING
         }
 
-    /** The path of the page of the list that follows [after]; an empty name for the first one. */
+    /**
+     * Returns the path of the list page that follows the machine named [after]; for the first page, the name is empty.
+     */
     fun pagePath(after: String): String {
         if (after.isEmpty()) return "$MACHINES_PATH?page=${CloudLimits.MACHINES_PER_PAGE}"
         return "$MACHINES_PATH?after=$after&page=${CloudLimits.MACHINES_PER_PAGE}"
--- a/src/main/kotlin/umberslip/cloud/HttpCloud.kt
+++ b/src/main/kotlin/umberslip/cloud/HttpCloud.kt
@@ -13,10 +13,10 @@
 import umberslip.store.RateLimiter
 import kotlin.time.Duration.Companion.seconds
 
-/** The cloud over HTTP. Requests wait for [requests], so that the cloud's rate limit is respected. */
+/** The cloud over HTTP. Requests wait for [rateLimiter], so that they keep to the cloud's rate limit. */
 class HttpCloud(
     private val http: HttpClient,
-    private val requests: RateLimiter,
+    private val rateLimiter: RateLimiter,
 ) : Cloud {
     override suspend fun instanceTypes(): List<InstanceType> {
         val reply = requireOk(call(HttpMethod.GET, CloudProtocol.INSTANCE_TYPES_PATH, null))
@@ -36,14 +36,14 @@
                 CloudProtocol.SPOT to offer.spot,
                 CloudProtocol.NUMBER to number,
             )
-        if (number !in 1..CloudLimits.MACHINES_PER_REQUEST) throw RequestRejectedException("$number machines, not sent")
+        if (number !in 1..CloudLimits.MACHINES_PER_REQUEST) throw RequestRejectedException("not sent: $number machines")
         val reply = call(HttpMethod.POST, CloudProtocol.MACHINES_PATH, body)
         if (isNoCapacity(reply)) return null
         try {
             return (requireOk(reply).fields().textsOrNull(CloudProtocol.MACHINES) ?: emptyList()).map(::MachineName)
         } catch (e: MalformedMessageException) {
-            // Which machines there are now is unknown; the list will show them.
-            throw NoResponseException("cloud: ${e.message}")
+            // It is unknown which machines were provisioned; the list will show them.
+            throw NoResponseException("malformed response from the cloud: ${e.message}")
         }
     }
 
@@ -54,7 +54,7 @@
 
     override suspend fun terminate(machineNames: List<MachineName>) {
         if (machineNames.size > CloudLimits.MACHINES_PER_TERMINATION) {
-            throw RequestRejectedException("${machineNames.size} machines, not sent")
+            throw RequestRejectedException("not sent: ${machineNames.size} machines exceed the limit")
         }
         val body = mapOf(CloudProtocol.MACHINES to machineNames.map { it.value })
         requireOk(call(HttpMethod.POST, CloudProtocol.TERMINATE_PATH, body))
@@ -65,10 +65,10 @@
         var after = ""
         while (true) {
             val page = requireOk(call(HttpMethod.GET, CloudProtocol.pagePath(after), null)).fields()
-            val onPage = page.maps(CloudProtocol.MACHINES).map(::listedMachine)
-            machines += onPage
-            if (!page.flag(CloudProtocol.HAS_NEXT_PAGE) || onPage.isEmpty()) return machines
-            after = onPage.last().name.value
+            val machinesOnPage = page.maps(CloudProtocol.MACHINES).map(::listedMachine)
+            machines += machinesOnPage
+            if (!page.flag(CloudProtocol.HAS_NEXT_PAGE) || machinesOnPage.isEmpty()) return machines
+            after = machinesOnPage.last().name.value
         }
     }
 
@@ -91,7 +91,7 @@
             429 -> throw RateLimitedException(answer)
             503 -> throw ServiceUnavailableException(answer)
             in CLIENT_ERRORS -> throw RequestRejectedException(answer)
-            // The protocol has no other; what became of the request is unknown.
+            // The protocol defines no other status, so the outcome of the request is unknown.
             else -> throw NoResponseException(answer)
         }
     }
@@ -101,19 +101,19 @@
         path: String,
         body: Any?,
     ): Reply {
-        requests.take(1, urgent = false)
+        rateLimiter.take(1, urgent = false)
         return try {
             http.call(method, path, body, TIMEOUT)
         } catch (e: MalformedMessageException) {
-            // Whatever was answered, the request may have been carried out.
-            throw NoResponseException("cloud: ${e.message}")
+            // Whatever the response was, the request may have been carried out.
+            throw NoResponseException("malformed response from the cloud: ${e.message}")
         }
     }
 
     private companion object {
         val CLIENT_ERRORS = 400..499
 
-        /** Longer than the cloud takes when it works, outages aside. */
+        /** Longer than the cloud takes to respond, except during outages. */
         val TIMEOUT = 5.seconds
     }
 }
--- a/src/main/kotlin/umberslip/cloud/InstanceTypeReader.kt
+++ b/src/main/kotlin/umberslip/cloud/InstanceTypeReader.kt
@@ -5,17 +5,17 @@
 import umberslip.http.MalformedMessageException
 import kotlin.time.Duration.Companion.seconds
 
-/** Reads the cloud's instance types. One that makes no sense is left out and does not take the others along. */
+/** Reads the cloud's instance types. An invalid instance type is ignored; the others are still read. */
 internal object InstanceTypeReader {
     private val LOG = LoggerFactory.getLogger("umberslip.cloud")
 
-    /** @throws MalformedMessageException where there is no list at all */
+    /** @throws MalformedMessageException if [document] contains no list of instance types */
     fun read(document: Fields): List<InstanceType> =
         document.list(CloudProtocol.INSTANCE_TYPES).mapNotNull { item ->
             try {
                 instanceType(Fields.of(item, CloudProtocol.INSTANCE_TYPES))
             } catch (e: MalformedMessageException) {
-                LOG.error("instance type left out: reason={} type={}", e.message, item)
+                LOG.error("invalid instance type ignored: reason={} type={}", e.message, item)
                 null
             }
         }
@@ -23,29 +23,29 @@
     private fun instanceType(fields: Fields) =
         InstanceType(
             label = fields.text(CloudProtocol.LABEL),
-            cpus = positive(fields, CloudProtocol.CPUS),
+            cpus = positiveNumber(fields, CloudProtocol.CPUS),
             gpus = fields.numberOrNull(CloudProtocol.GPUS) ?: 0.0,
             memoryGb = fields.number(CloudProtocol.MEMORY_GB),
             fetchGbPerSecond = fields.numberOrNull(CloudProtocol.FETCH_GB_PER_SECOND) ?: 1.0,
-            price = notNegative(fields, CloudProtocol.PRICE),
-            spotPrice = notNegative(fields, CloudProtocol.SPOT_PRICE),
+            price = nonNegativeNumber(fields, CloudProtocol.PRICE),
+            spotPrice = nonNegativeNumber(fields, CloudProtocol.SPOT_PRICE),
             boot = fields.number(CloudProtocol.BOOT_SECONDS).seconds,
             zones = fields.textsOrNull(CloudProtocol.ZONES) ?: emptyList(),
         )
 
-    private fun positive(
+    private fun positiveNumber(
         fields: Fields,
         name: String,
-    ): Double = fields.number(name).also { if (it <= 0) invalid(fields, name, it) }
+    ): Double = fields.number(name).also { if (it <= 0) throwOutOfRange(fields, name, it) }
 
-    private fun notNegative(
+    private fun nonNegativeNumber(
         fields: Fields,
         name: String,
-    ): Double = fields.number(name).also { if (it < 0) invalid(fields, name, it) }
+    ): Double = fields.number(name).also { if (it < 0) throwOutOfRange(fields, name, it) }
 
-    private fun invalid(
+    private fun throwOutOfRange(
         fields: Fields,
         name: String,
         value: Double,
-    ): Nothing = throw MalformedMessageException("${fields.path(name)} is $value")
+    ): Nothing = throw MalformedMessageException("${fields.path(name)} is out of range: $value")
 }
--- a/src/test/kotlin/umberslip/cloud/HttpCloudTest.kt
+++ b/src/test/kotlin/umberslip/cloud/HttpCloudTest.kt
@@ -23,7 +23,7 @@
 import java.util.concurrent.TimeUnit
 import kotlin.time.TimeSource
 
-/** Which of the cloud's answers say that a request was carried out, was not, never will be, or perhaps. */
+/** Tests how the cloud's responses are classified: carried out, refused for now, rejected or indeterminate. */
 class HttpCloudTest {
     private var answer: (CborRequest) -> CborAnswer = { CborAnswer(200, emptyMap<String, Any?>()) }
     private var requests = 0
@@ -48,7 +48,7 @@
         return runBlocking { cloud.provision("r-1", offer, number) }
     }
 
-    private fun answers(
+    private fun respondWith(
         status: Int,
         body: Any?,
     ) {
@@ -56,30 +56,30 @@
     }
 
     @Test
-    fun `a refusal for good is told from one for now and from an indeterminate outcome`() {
+    fun `a rejection is distinguished from a temporary refusal and from an indeterminate outcome`() {
         for (status in listOf(400, 403, 404, 413, 422)) {
-            answers(status, mapOf("error" to "malformed"))
+            respondWith(status, mapOf("error" to "malformed"))
             assertThrows(RequestRejectedException::class.java, { provision() }, "$status")
         }
-        answers(429, mapOf("error" to "slow down"))
+        respondWith(429, mapOf("error" to "slow down"))
         assertThrows(RateLimitedException::class.java) { provision() }
         val bodies = listOf(mapOf("error" to "trouble"), emptyMap<String, Any?>(), listOf("trouble"), "trouble", null)
         for (body in bodies) {
-            answers(503, body)
+            respondWith(503, body)
             assertThrows(ServiceUnavailableException::class.java, { provision() }, "$body")
         }
         for (status in listOf(201, 500, 502, 504)) {
-            answers(status, mapOf("error" to "?"))
+            respondWith(status, mapOf("error" to "?"))
             assertThrows(NoResponseException::class.java, { provision() }, "$status")
         }
-        answers(503, mapOf("error" to "no capacity"))
+        respondWith(503, mapOf("error" to "no capacity"))
         assertEquals(null, provision())
     }
 
     @Test
-    fun `a response to a request that cannot be read leaves its outcome open`() {
+    fun `an unreadable response leaves the outcome of the request indeterminate`() {
         for (body in listOf("hosts", listOf("host-1"), mapOf("hosts" to "host-1"), mapOf("hosts" to listOf(1)), 7)) {
-            answers(200, body)
+            respondWith(200, body)
             assertThrows(NoResponseException::class.java, { provision() }, "$body")
         }
     }
@@ -95,7 +95,7 @@
     }
 
     @Test
-    fun `instance types that make no sense are left out, the others are used`() {
+    fun `invalid instance types are ignored and the others are used`() {
         val good = instanceType("good")
         val bad =
             listOf(
@@ -108,15 +108,15 @@
                 "large",
                 null,
             )
-        answers(200, mapOf("hosttypes" to bad + good + (instanceType("no zones") - "halls")))
+        respondWith(200, mapOf("hosttypes" to bad + good + (instanceType("no zones") - "halls")))
         val read = runBlocking { cloud.instanceTypes() }
         assertEquals(listOf("good" to listOf("east"), "no zones" to emptyList()), read.map { it.label to it.zones })
-        answers(200, mapOf("hosttypes" to "none"))
+        respondWith(200, mapOf("hosttypes" to "none"))
         assertThrows(MalformedMessageException::class.java) { runBlocking { cloud.instanceTypes() } }
     }
 
     @Test
-    fun `a list whose last page is empty ends though it says that more follows`() {
+    fun `reading the list ends at an empty page even if the page announces a next one`() {
         val machine =
             mapOf(
                 "uid" to "host-1",
@@ -128,7 +128,7 @@
             )
         answer = { request ->
             val page = if ("after" in request.query) emptyList() else listOf(machine)
-            CborAnswer(200, mapOf("hosts" to page, "has_next" to (requests < ENDLESS)))
+            CborAnswer(200, mapOf("hosts" to page, "has_next" to (requests < ENDLESS_PAGES)))
         }
         assertEquals(listOf(MachineName("host-1")), runBlocking { cloud.listMachines() }.map { it.name })
         assertEquals(2, requests)
@@ -146,7 +146,7 @@
         )
 
     private companion object {
-        /** So many pages are asked for only by a reader that would never end. */
-        const val ENDLESS = 100
+        /** Only a reader that never stops requests this many pages. */
+        const val ENDLESS_PAGES = 100
     }
 }
