--- a/src/main/kotlin/umberslip/provisioning/BootingMachines.kt
+++ b/src/main/kotlin/umberslip/provisioning/BootingMachines.kt
@@ -22,9 +22,9 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * The machines that were provisioned and have not sent a heartbeat yet, in memory and as a record in the key-value
- * store. The record is a hint for the next leader, so that it does not provision for the same need again; one that is
- * old or lost costs machines for a short time, never work.
+ * The machines that have been provisioned and have not sent a heartbeat yet, kept in memory and as a record in the
+ * key-value store. The record is a hint that keeps the next leader from provisioning for the same demand again. A stale
+ * or lost record costs some machines for a short time, but never work.
  */
 internal class BootingMachines(
     private val settings: Settings,
@@ -38,15 +38,15 @@
     private var persisted: Set<MachineName> = emptySet()
     private var persistedAt = Duration.ZERO
 
-    /** A copy, in the order in which the machines were added. */
+    /** Returns a copy of the machines, in the order in which they were added. */
     fun all(): List<BootingMachine> = machines.values.toList()
 
-    /** All processors of the machines; those of unknown types count for nothing. */
+    /** Returns the total processors of the machines; machines of unknown instance types count as 0. */
     fun cpus(types: Map<String, InstanceType>): Double = machines.values.sumOf { types[it.offer.type]?.cpus ?: 0.0 }
 
     operator fun contains(name: MachineName): Boolean = name in machines
 
-    /** Adds a machine, or replaces the one of its name. */
+    /** Adds a machine, or replaces the machine of the same name. */
     fun add(machine: BootingMachine) {
         machines[machine.name] = machine
     }
@@ -59,41 +59,54 @@
         machines.values.removeAll(condition)
     }
 
-    /** Removes machines that have sent a heartbeat: they are the scheduler's from then on. */
+    /** Removes the machines that have sent a heartbeat; from then on, the scheduler tracks them. */
     fun removeInContact(snapshot: List<MachineSnapshot>) {
         for (machine in snapshot) if (machine.sinceContact != null) machines.remove(machine.name)
     }
 
-    /** The cloud lists the machine as running; its first heartbeat is still to come. */
+    /** Notes that the cloud lists the machine as running. Its first heartbeat is still to come. */
     fun markRunning(name: MachineName) {
         machines.computeIfPresent(name) { _, machine -> machine.copy(isRunning = true) }
     }
 
-    /** Begins a leader's term with what its predecessor persisted; [record] is null where there is none. */
+    /**
+     * Resets the state for a new leader's term to the machines that the previous leader persisted; [record] is null if
+     * there is no record.
+     */
     fun restore(record: Any?) {
         machines.clear()
         if (record == null) return
         val now = clock.now()
         val nowEpochMillis = wallClock().toEpochMilli()
         try {
-            for (recorded in BootingMachinesRecord.parse(record)) add(bootingMachine(recorded, now, nowEpochMillis))
+            for (recorded in BootingMachinesRecord.parse(record)) add(fromRecorded(recorded, now, nowEpochMillis))
         } catch (e: MalformedMessageException) {
-            log.error("record of booting machines unreadable: key={} reason={}", Keys.BOOTING_MACHINES, e.message)
+            log.error(
+                "record of booting machines is malformed, the rest of it is ignored: key={} reason={}",
+                Keys.BOOTING_MACHINES,
+                e.message,
+            )
         }
     }
 
-    /** [persist], if the names have changed since and the last write is some seconds ago. */
+    /**
+     * Calls [persist] if the machines have changed since the last write and that write is more than [PERSIST_INTERVAL]
+     * ago.
+     */
     suspend fun persistIfChanged(now: Duration) {
         if (machines.keys != persisted && now - persistedAt > PERSIST_INTERVAL) persist()
     }
 
-    /** Writes as many machines as one value holds. A write that fails is not repeated before the next change. */
+    /**
+     * Writes as many machines as fit into one value of the key-value store. A failed write is not repeated before the
+     * next change.
+     */
     suspend fun persist() {
         val version = leaderLease.version ?: return
         persisted = machines.keys.toSet()
         persistedAt = clock.now()
-        val epochMillisAtZero = wallClock().toEpochMilli() - persistedAt.inWholeMilliseconds
-        val recorded = machines.values.map { recordedMachine(it, epochMillisAtZero) }
+        val epochMillisAtClockZero = wallClock().toEpochMilli() - persistedAt.inWholeMilliseconds
+        val recorded = machines.values.map { toRecorded(it, epochMillisAtClockZero) }
         val record = BootingMachinesRecord.fitting(recorded, settings.storeLimits.valueBytes)
         try {
             store.compareAndSwap(
@@ -101,24 +114,24 @@
                 listOf(Write.Put(Keys.BOOTING_MACHINES, record.toMap())),
             )
         } catch (e: ServiceException) {
-            log.debug("booting machines perhaps not persisted: reason={}", e.message)
+            log.debug("booting machines may not have been persisted: reason={}", e.message)
         }
     }
 
-    /** The record has times of the wall clock: a leader's steady clock means nothing to the next one. */
-    private fun recordedMachine(
+    /** The record contains wall-clock times, because one leader's monotonic clock means nothing to the next leader. */
+    private fun toRecorded(
         machine: BootingMachine,
-        epochMillisAtZero: Long,
+        epochMillisAtClockZero: Long,
     ) = RecordedBootingMachine(
         machine.name,
         machine.offer.type,
         machine.offer.zone,
         machine.offer.spot,
-        requested = Instant.ofEpochMilli(epochMillisAtZero + machine.since.inWholeMilliseconds),
+        requested = Instant.ofEpochMilli(epochMillisAtClockZero + machine.requestedAt.inWholeMilliseconds),
     )
 
-    /** [now] and [nowEpochMillis] are the same moment by both clocks. */
-    private fun bootingMachine(
+    /** [now] and [nowEpochMillis] are the same moment on the monotonic clock and on the wall clock. */
+    private fun fromRecorded(
         recorded: RecordedBootingMachine,
         now: Duration,
         nowEpochMillis: Long,
@@ -129,7 +142,7 @@
     }
 
     private companion object {
-        /** Changes within this time are written together. */
+        /** Changes within this interval are written together. */
         val PERSIST_INTERVAL = 3.seconds
     }
 }
--- a/src/main/kotlin/umberslip/provisioning/CapacityPlanner.kt
+++ b/src/main/kotlin/umberslip/provisioning/CapacityPlanner.kt
@@ -9,8 +9,8 @@
 import kotlin.math.ceil
 
 /**
- * Plans how many machines of which kind there should be: enough to get the known work done within the drain time,
- * filled from the cheapest capacity up, whether that exists already or only could be provisioned. Pure.
+ * Plans how many machines of which offers the cluster should have: enough to finish the known work within the drain
+ * time. The cheapest capacity is used first, whether it exists already or has to be provisioned. Pure.
  */
 class CapacityPlanner(
     tuning: Tuning,
@@ -19,34 +19,34 @@
     private val surplus = Surplus(demand)
 
     /**
-     * [expected] are machines that may have been provisioned without an answer; they count as booting. [isBackedOff]
-     * says which offers are not to be requested at present.
+     * Plans for the work in [snapshot]. [expectedMachines] may have been provisioned by requests whose outcome is
+     * unknown; they count as booting. [isBackedOff] says which offers must not be requested at present.
      */
     fun plan(
         snapshot: ClusterSnapshot,
         booting: List<BootingMachine>,
         instanceTypes: Map<String, InstanceType>,
-        expected: List<ProvisioningRequest>,
+        expectedMachines: List<ProvisioningRequest>,
         isBackedOff: (Offer) -> Boolean,
-    ): CapacityPlan = Planning(snapshot, booting, instanceTypes, expected, isBackedOff).plan()
+    ): CapacityPlan = Planning(snapshot, booting, instanceTypes, expectedMachines, isBackedOff).plan()
 
-    /** One plan in the making: the capacity that there is or could be, and how much of it is still free. */
+    /** The state of one plan while it is made: the existing and the requested capacity, and how much of it is free. */
     private inner class Planning(
         private val snapshot: ClusterSnapshot,
         booting: List<BootingMachine>,
         private val instanceTypes: Map<String, InstanceType>,
-        expected: List<ProvisioningRequest>,
+        expectedMachines: List<ProvisioningRequest>,
         isBackedOff: (Offer) -> Boolean,
     ) {
         private val prices = Prices(instanceTypes)
         private val existing =
-            ExistingSupply(demand, instanceTypes, prices).also { it.add(snapshot, booting, expected) }
+            ExistingSupply(demand, instanceTypes, prices).also { it.add(snapshot, booting, expectedMachines) }
         private val supply = ArrayList(existing.machines)
         private val requests = LinkedHashMap<Offer, Int>()
         private var unprovisioned: UnprovisionedReason? = null
         private val allOffers = instanceTypes.values.flatMap(::offersOf)
 
-        /** What the cloud provisions at present, the cheapest first. */
+        /** The offers that may be requested at present, the cheapest first. */
         private val offers = allOffers.filter { !isBackedOff(it) }.sortedBy(prices::perCpu)
 
         private fun offersOf(instanceType: InstanceType): List<Offer> =
@@ -55,47 +55,50 @@
             }
 
         fun plan(): CapacityPlan {
-            // The most constrained work chooses first.
+            // The most constrained work is planned first.
             val groups =
                 snapshot.waiting
                     .groupBy { it.where }
                     .entries
                     .sortedBy { (constraint, _) -> offers.count(constraint::allows) }
-            for ((constraint, work) in groups) provide(constraint, work)
+            for ((constraint, work) in groups) planCapacity(constraint, work)
             return CapacityPlan(
                 requests.map { (offer, number) -> ProvisioningRequest(offer, number) },
-                surplus.of(supply, existing.busyCpus, snapshot.waiting),
+                surplus.find(supply, existing.busyCpus, snapshot.waiting),
                 unprovisioned,
             )
         }
 
-        /** Finds capacity for the work that may go to the same machines. */
-        private fun provide(
+        /** Plans capacity for work that shares a placement constraint. */
+        private fun planCapacity(
             constraint: PlacementConstraint,
             work: List<PendingWork>,
         ) {
             val allowed = offers.filter(constraint::allows)
             val cheapest = allowed.minOfOrNull(prices::perCpu) ?: Double.MAX_VALUE
-            val expensiveAbove = cheapest * EXPENSIVE
-            val (expensiveSupply, cheapSupply) = usable(constraint).partition { it.pricePerCpu > expensiveAbove }
+            val maxCheapPrice = cheapest * EXPENSIVE_PRICE_FACTOR
+            val (expensiveSupply, cheapSupply) = usableSupply(constraint).partition { it.pricePerCpu > maxCheapPrice }
             var open = fill(work.map { OpenDemand(it, it.tasks.toDouble()) }, cheapSupply, isExpensive = false)
             var isExpensive = false
             for (offer in allowed) {
                 if (open.isEmpty()) break
-                if (!isExpensive && prices.perCpu(offer) > expensiveAbove) {
-                    // Expensive machines that are up serve before more are provisioned.
+                if (!isExpensive && prices.perCpu(offer) > maxCheapPrice) {
+                    // Expensive machines that exist already are used before more are provisioned.
                     isExpensive = true
                     open = fill(open, expensiveSupply, isExpensive = true)
                 }
                 open = provision(offer, open, isExpensive)
             }
             if (!isExpensive) open = fill(open, expensiveSupply, isExpensive = true)
-            if (open.isNotEmpty()) provisionOneIfNone(constraint, open)
-            work.filter { it.atOnce > 1 }.forEach { providePlaces(constraint, it) }
+            if (open.isNotEmpty()) requestOneIfNoneFits(constraint, open)
+            work.filter { it.atOnce > 1 }.forEach { planGangPlaces(constraint, it) }
         }
 
-        /** In the order of use: machines that are up, used ones and the cheapest first; then those that boot. */
-        private fun usable(constraint: PlacementConstraint): List<Supply> =
+        /**
+         * Returns the allowed machines with free processors in their order of use: first the machines that are up, then
+         * those that boot. Within both groups, used machines come first, and then the cheapest.
+         */
+        private fun usableSupply(constraint: PlacementConstraint): List<Supply> =
             supply
                 .filter { constraint.allows(it.offer) && it.freeCpus > 0 }
                 .sortedWith(ORDER_OF_USE)
@@ -114,80 +117,89 @@
                     it.tasks * demand.busyCpus(it.work.resources, it.work.seconds, horizon)
                 }
             if (fittingCpus < instanceType.cpus * MIN_UTILIZATION) return open
-            val number = ceil(fittingCpus / instanceType.cpus - MIN_UTILIZATION).toInt().coerceIn(1, MAX_PER_STEP)
+            val number =
+                ceil(fittingCpus / instanceType.cpus - MIN_UTILIZATION).toInt().coerceIn(1, MAX_MACHINES_PER_STEP)
             return fill(open, request(offer, number), isExpensive)
         }
 
-        /** What is left is too little for a machine of its own, unless there is none at all. */
-        private fun provisionOneIfNone(
+        /**
+         * Requests one machine if no machine that is in use can hold the remaining work. Otherwise the remaining work
+         * is too little to justify a machine of its own.
+         */
+        private fun requestOneIfNoneFits(
             constraint: PlacementConstraint,
             open: List<OpenDemand>,
         ) {
             val used = supply.filter { constraint.allows(it.offer) && it.isUsed }
-            val unplaced = open.map { it.work }.filter { work -> used.none { it.canHold(work.resources) } }
-            if (unplaced.isEmpty()) return
-            val offer = offers.firstOrNull { offer -> unplaced.any { holds(offer, constraint, it) } }
+            val workWithoutMachine = open.map { it.work }.filter { work -> used.none { it.canHold(work.resources) } }
+            if (workWithoutMachine.isEmpty()) return
+            val offer = offers.firstOrNull { offer -> workWithoutMachine.any { fits(offer, constraint, it) } }
             if (offer != null) {
                 request(offer, 1)
             } else {
-                noteUnprovisioned(constraint, unplaced)
+                setUnprovisionedReason(constraint, workWithoutMachine)
             }
         }
 
         /**
-         * Capacity over time is not enough for a gang: its tasks need their places at the same time. The machines that
-         * offer these are not surplus.
+         * Plans a place for every task of a gang, and requests machines if places are missing. Enough capacity over
+         * time is not sufficient for a gang, because its tasks need their places at the same time. The machines that
+         * provide the places are not surplus.
          */
-        private fun providePlaces(
+        private fun planGangPlaces(
             constraint: PlacementConstraint,
             gang: PendingWork,
         ) {
-            val holding = offers.filter { holds(it, constraint, gang) }
+            val fittingOffers = offers.filter { fits(it, constraint, gang) }
             val allowed = supply.filter { constraint.allows(it.offer) && it.canHold(gang.resources) }
-            val zone = if (gang.oneZone) bestZone(allowed, holding, gang) else null
-            var missing = gang.atOnce
+            val zone = if (gang.oneZone) bestZone(allowed, fittingOffers, gang) else null
+            var missingPlaces = gang.atOnce
             for (machine in allowed.filter { zone == null || it.offer.zone == zone }.sortedWith(ORDER_OF_USE)) {
-                if (missing <= 0) return
-                missing -= machine.places(gang.resources)
-                machine.take(0.0)
+                if (missingPlaces <= 0) return
+                missingPlaces -= machine.placesFor(gang.resources)
+                machine.planWork(0.0)
             }
-            if (missing <= 0) return
-            val offer = holding.firstOrNull { zone == null || it.zone == zone }
+            if (missingPlaces <= 0) return
+            val offer = fittingOffers.firstOrNull { zone == null || it.zone == zone }
             if (offer == null) {
-                noteUnprovisioned(constraint, listOf(gang))
+                setUnprovisionedReason(constraint, listOf(gang))
                 return
             }
-            val placesOnEach = instanceTypes.getValue(offer.type).resources.countOf(gang.resources)
-            request(offer, ((missing - 1) / placesOnEach + 1).coerceAtMost(MAX_PER_STEP)).forEach { it.take(0.0) }
+            val placesPerMachine = instanceTypes.getValue(offer.type).resources.countOf(gang.resources)
+            request(offer, ((missingPlaces - 1) / placesPerMachine + 1).coerceAtMost(MAX_MACHINES_PER_STEP))
+                .forEach { it.planWork(0.0) }
         }
 
-        /** The zone with the most places, of those in which there are enough or more can be provisioned. */
+        /**
+         * Returns the zone in which to place a gang: a zone that has enough places, or else the one with the most
+         * places among the zones in which more can be provisioned.
+         */
         private fun bestZone(
             allowed: List<Supply>,
-            holding: List<Offer>,
+            fittingOffers: List<Offer>,
             gang: PendingWork,
         ): String? {
             val byZone = allowed.groupBy { it.offer.zone }
-            val places = byZone.mapValues { (_, inZone) -> inZone.sumOf { it.places(gang.resources) } }
-            val complete = places.filterValues { it >= gang.atOnce }.keys.firstOrNull()
-            return complete ?: holding.map { it.zone }.maxByOrNull { places[it] ?: 0 }
+            val places = byZone.mapValues { (_, inZone) -> inZone.sumOf { it.placesFor(gang.resources) } }
+            val zoneWithEnoughPlaces = places.filterValues { it >= gang.atOnce }.keys.firstOrNull()
+            return zoneWithEnoughPlaces ?: fittingOffers.map { it.zone }.maxByOrNull { places[it] ?: 0 }
         }
 
-        private fun holds(
+        private fun fits(
             offer: Offer,
             constraint: PlacementConstraint,
             work: PendingWork,
         ): Boolean = constraint.allows(offer) && instanceTypes.getValue(offer.type).resources.covers(work.resources)
 
-        private fun noteUnprovisioned(
+        private fun setUnprovisionedReason(
             constraint: PlacementConstraint,
             work: List<PendingWork>,
         ) {
-            val isOffered = allOffers.any { offer -> work.any { holds(offer, constraint, it) } }
+            val isOffered = allOffers.any { offer -> work.any { fits(offer, constraint, it) } }
             unprovisioned = if (isOffered) UnprovisionedReason.NO_CAPACITY else UnprovisionedReason.NO_OFFER
         }
 
-        /** Adds machines of [offer] to the plan. */
+        /** Adds a request for [number] machines of [offer] to the plan; returns the machines as supply. */
         private fun request(
             offer: Offer,
             number: Int,
@@ -211,7 +223,7 @@
         }
     }
 
-    /** Plans tasks for [machines] in this order; returns the demand that does not fit. */
+    /** Plans the tasks of the open demand on [machines], in their order; returns the demand that does not fit. */
     private fun fill(
         open: List<OpenDemand>,
         machines: List<Supply>,
@@ -220,12 +232,12 @@
         val stillOpen = ArrayList<OpenDemand>()
         for (openDemand in open) {
             val tasksLeft = fill(openDemand, machines, isExpensive)
-            if (tasksLeft > NEGLIGIBLE) stillOpen += OpenDemand(openDemand.work, tasksLeft)
+            if (tasksLeft > NEGLIGIBLE_TASKS) stillOpen += OpenDemand(openDemand.work, tasksLeft)
         }
         return stillOpen
     }
 
-    /** The tasks that do not fit. */
+    /** Plans the tasks of one piece of work on [machines]; returns the number of tasks that do not fit. */
     private fun fill(
         open: OpenDemand,
         machines: List<Supply>,
@@ -239,7 +251,7 @@
             val horizon = demand.horizonSeconds(work, machine.isUp, isExpensive)
             val cpusPerTask = demand.blockedCpus(work.resources, work.seconds, machine.resources, horizon)
             val cpus = minOf(machine.freeCpus, tasksLeft * cpusPerTask)
-            machine.take(cpus)
+            machine.planWork(cpus)
             tasksLeft -= cpus / cpusPerTask
         }
         return tasksLeft
@@ -248,16 +260,22 @@
     private companion object {
         val ORDER_OF_USE = compareBy<Supply>({ !it.isUp }, { !it.isUsed }, { it.pricePerCpu })
 
-        /** From this times the cheapest price on, a machine is expensive: used no longer than needed. */
-        const val EXPENSIVE = 1.5
+        /**
+         * A machine that costs more than this many times the cheapest price per processor is expensive. Expensive
+         * machines are used no longer than needed.
+         */
+        const val EXPENSIVE_PRICE_FACTOR = 1.5
 
         /** The share of a machine that must be needed before one more is provisioned. */
         const val MIN_UTILIZATION = 0.3
 
-        /** Fewer tasks than this are left by rounding alone. */
-        const val NEGLIGIBLE = 1e-6
+        /** Fewer remaining tasks than this result from rounding alone. */
+        const val NEGLIGIBLE_TASKS = 1e-6
 
-        /** So many machines of one offer are planned for work of one constraint; what is missing is planned next. */
-        const val MAX_PER_STEP = 50
+        /**
+         * At most this many machines of one offer are requested in one step for work that shares a constraint; later
+         * plans request the missing ones.
+         */
+        const val MAX_MACHINES_PER_STEP = 50
     }
 }
--- a/src/main/kotlin/umberslip/provisioning/CapacitySummary.kt
+++ b/src/main/kotlin/umberslip/provisioning/CapacitySummary.kt
@@ -4,7 +4,9 @@
 import umberslip.scheduling.ClusterSnapshot
 import umberslip.scheduling.MachineSnapshot
 
-/** Logs the capacity and its use in one line, in processors; `waiting_cpu_s` is in processor seconds. */
+/**
+ * Logs the capacity and its use in one line. All values are in processors, but `waiting_cpu_s` in processor seconds.
+ */
 internal fun logCapacity(
     log: Logger,
     snapshot: ClusterSnapshot,
@@ -14,10 +16,10 @@
     log.info(
         "capacity: up_cpus={} spot_cpus={} draining_cpus={} quarantined_cpus={} used_cpus={} running_cpus={} " +
             "fetching_cpus={} booting_cpus={} waiting_cpus={} waiting_cpu_s={}",
-        cpus(up),
-        cpus(up.filter { it.offer.spot }),
-        cpus(up.filter { it.isDraining }),
-        cpus(up.filter { it.isQuarantined }),
+        totalCpus(up),
+        totalCpus(up.filter { it.offer.spot }),
+        totalCpus(up.filter { it.isDraining }),
+        totalCpus(up.filter { it.isQuarantined }),
         up.sumOf { machine -> machine.running.sumOf { it.resources.cpus } }.toInt(),
         up.sumOf { it.runningCpus }.toInt(),
         up.sumOf { it.fetchingCpus }.toInt(),
@@ -27,4 +29,4 @@
     )
 }
 
-private fun cpus(machines: List<MachineSnapshot>): Int = machines.sumOf { it.capacity?.cpus ?: 0.0 }.toInt()
+private fun totalCpus(machines: List<MachineSnapshot>): Int = machines.sumOf { it.capacity?.cpus ?: 0.0 }.toInt()
--- a/src/main/kotlin/umberslip/provisioning/CloudReconciliation.kt
+++ b/src/main/kotlin/umberslip/provisioning/CloudReconciliation.kt
@@ -19,9 +19,9 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Reconciles what the leader knows with the cloud's list of machines, which lags behind the cloud's own state. Machines
- * on the list that nobody has provisioned in this term count as booting; failed, missing and overdue ones are
- * terminated.
+ * Reconciles the machines that the leader knows with the cloud's list of machines, which lags behind the cloud's actual
+ * state. Listed machines that were not provisioned in this term count as booting. Failed, missing and overdue machines
+ * are terminated.
  */
 internal class CloudReconciliation(
     private val settings: Settings,
@@ -31,62 +31,67 @@
     private val termination: MachineTermination,
     private val log: Logger,
 ) {
-    private var triedAt: Duration? = null
+    private var lastAttemptAt: Duration? = null
     private var electedAt = Duration.ZERO
     private var hasListInTerm = false
     private val unreadableLists = FailureSeries()
 
-    /** Begins a leader's term: has the list read again at the next opportunity. */
+    /** Resets the state for a new leader's term, so that the list is read again at the next opportunity. */
     fun clear(now: Duration) {
-        triedAt = null
+        lastAttemptAt = null
         electedAt = now
         hasListInTerm = false
     }
 
     /**
-     * Reads and reconciles the list if the last one is some seconds old. Fails as [Cloud.listMachines] does where the
-     * cloud is away, or where there is no list of this term yet.
+     * Reads and reconciles the list if the last attempt is more than [LIST_INTERVAL] ago. Throws the exceptions of
+     * [Cloud.listMachines] if the cloud is unavailable, and those for an unusable list during the first
+     * [FIRST_LIST_TIMEOUT] of a term if no list has been read in the term yet.
      */
     suspend fun reconcileIfDue(
         snapshot: ClusterSnapshot,
         now: Duration,
     ) {
-        if (triedAt?.let { now - it <= LIST_INTERVAL } == true) return
+        if (lastAttemptAt?.let { now - it <= LIST_INTERVAL } == true) return
         val listed = readList(now) ?: return
         val names = listed.mapTo(HashSet()) { it.name }
         terminateMissing(names, snapshot, now)
-        // Persisted by a former leader, or provisioned long enough ago to be listed, and not there: terminated.
-        booting.removeAll { it.name !in names && now - it.since > settings.listLag * MAX_LIST_LAGS }
-        val known = snapshot.machines.associateBy { it.name }
-        for (machine in listed) reconcile(machine, known[machine.name], now)
+        // A machine that is not listed, although it was requested long enough ago, has been terminated. It may come
+        // from the record of a former leader.
+        booting.removeAll { it.name !in names && now - it.requestedAt > settings.listLag * MAX_LIST_LAGS }
+        val knownMachines = snapshot.machines.associateBy { it.name }
+        for (machine in listed) reconcile(machine, knownMachines[machine.name], now)
     }
 
-    /** Null where the cloud is there but gives no list that can be used: what is known does for now. */
+    /**
+     * Returns null if the cloud responds without a usable list; until the next attempt, the known machines are used.
+     */
     private suspend fun readList(now: Duration): List<ListedMachine>? {
         try {
             val listed = cloud.listMachines()
-            triedAt = now
+            lastAttemptAt = now
             hasListInTerm = true
             unreadableLists.succeeded()
             return listed
         } catch (e: RequestRejectedException) {
-            goOnWithoutList(e, now)
+            handleUnusableList(e, now)
         } catch (e: MalformedMessageException) {
-            goOnWithoutList(e, now)
+            handleUnusableList(e, now)
         }
         return null
     }
 
-    private fun goOnWithoutList(
+    private fun handleUnusableList(
         failure: Exception,
         now: Duration,
     ) {
-        // The first list of a term shows what former leaders provisioned: worth a wait, but not for ever.
-        if (!hasListInTerm && now - electedAt < FIRST_LIST_PATIENCE) throw failure
-        triedAt = now
+        // The first list of a term shows the machines that former leaders provisioned, so it is worth waiting for, but
+        // only for a limited time.
+        if (!hasListInTerm && now - electedAt < FIRST_LIST_TIMEOUT) throw failure
+        lastAttemptAt = now
         if (!unreadableLists.failed(now)) return
         log.error(
-            "no list of machines, going on without: reason={} failures={}",
+            "list of machines is unusable, continuing without it: reason={} failures={}",
             failure.message,
             unreadableLists.count,
         )
@@ -94,33 +99,34 @@
 
     private fun reconcile(
         listed: ListedMachine,
-        known: MachineSnapshot?,
+        snapshot: MachineSnapshot?,
         now: Duration,
     ) {
         val isRunning = listed.status == MachineStatus.RUNNING
         when {
             termination.isPendingOrTerminated(listed.name) -> Unit
             listed.status == MachineStatus.FAILED -> termination.enqueue(listed.name)
-            known?.sinceContact != null -> Unit
+            snapshot?.sinceContact != null -> Unit
             listed.name in booting -> if (isRunning) booting.markRunning(listed.name)
             else -> {
-                // Provisioned by a former leader, or by a request that arrived late: used like any other.
+                // The machine was provisioned by a former leader, or by a request that reached the cloud late. It is
+                // used like any other machine.
                 val offer = Offer(listed.type, listed.zone, listed.spot)
                 booting.add(BootingMachine(listed.name, offer, now - listed.age, isRunning))
             }
         }
     }
 
-    /** Machines without contact that the list would show if they existed. */
+    /** Terminates machines without contact that the list would show if they existed. */
     private suspend fun terminateMissing(
         listed: Set<MachineName>,
         snapshot: ClusterSnapshot,
-        listBegan: Duration,
+        listRequestedAt: Duration,
     ) {
-        val known = snapshot.machines.map { KnownMachine(it.name, it.provisionedBefore, it.sinceAnyContact) }
+        val knownMachines = snapshot.machines.map { KnownMachine(it.name, it.provisionedBefore, it.sinceAnyContact) }
         val missing =
             missingMachines
-                ?.of(listBegan, listed, known)
+                ?.of(listRequestedAt, listed, knownMachines)
                 .orEmpty()
                 .filter { !termination.isPendingOrTerminated(it) }
         if (missing.isEmpty()) return
@@ -132,25 +138,32 @@
         termination.request(missing, evenIfBusy = true)
     }
 
-    /** Terminates machines that should have booted long ago; [leadingFor] is the age of this leader's term. */
+    /**
+     * Terminates machines that should have booted long ago. [leadingFor] is the time since this leader's term began.
+     */
     fun terminateOverdue(
         snapshot: ClusterSnapshot,
         instanceTypes: Map<String, InstanceType>,
         leadingFor: Duration,
         now: Duration,
     ) {
-        // A machine that was up before this leader may be out of reach for a while with work on it.
+        // A machine that was up before this term may have no contact for a while and still run tasks.
         if (leadingFor < settings.workers.lease * 2) return
         val zonesInContact =
             snapshot.machines
                 .filter { machine -> machine.sinceContact?.let { it < settings.workers.lease } ?: false }
                 .mapTo(HashSet()) { it.offer.zone }
         for (machine in booting.all()) {
-            // A zone without contact is partitioned off; its machines come back with it.
+            // A zone in which no machine has contact counts as partitioned; its machines return when the partition
+            // heals.
             val isPartitioned = machine.isRunning && machine.offer.zone !in zonesInContact
             if (isPartitioned && leadingFor < UnresponsiveMachines.PARTITION_TIMEOUT) continue
             if (!isOverdue(machine, instanceTypes, now)) continue
-            log.warn("machine did not boot, terminating it: machine={} age={}", machine.name.value, now - machine.since)
+            log.warn(
+                "machine did not boot, terminating it: machine={} age={}",
+                machine.name.value,
+                now - machine.requestedAt,
+            )
             booting.remove(machine.name)
             termination.enqueue(machine.name)
         }
@@ -162,22 +175,22 @@
         now: Duration,
     ): Boolean {
         val bootTime = instanceTypes[machine.offer.type]?.boot ?: return false
-        return now - machine.since > maxOf(bootTime * MAX_BOOT_FACTOR, bootTime + MIN_BOOT_ALLOWANCE)
+        return now - machine.requestedAt > maxOf(bootTime * MAX_BOOT_FACTOR, bootTime + MIN_BOOT_ALLOWANCE)
     }
 
     private companion object {
         val LIST_INTERVAL = 5.seconds
 
-        /** How long a new leader waits for a list that can be used. */
-        val FIRST_LIST_PATIENCE = 15.seconds
+        /** How long a new leader waits for a usable list. */
+        val FIRST_LIST_TIMEOUT = 15.seconds
 
-        /** The list lags by twice the nominal time at most; one more is for the way to the cloud and back. */
+        /** The list lags by at most twice the nominal lag; the third lag allows for the round trip to the cloud. */
         const val MAX_LIST_LAGS = 3
 
-        /** A machine that boots for this many times the usual time will not come up. */
+        /** A machine that has been booting for this many times the usual boot time will not come up. */
         const val MAX_BOOT_FACTOR = 3
 
-        /** Types that boot fast get at least so much more than the usual time. */
+        /** Instance types that boot fast are allowed at least this much more than their usual boot time. */
         val MIN_BOOT_ALLOWANCE = 40.seconds
     }
 }
--- a/src/main/kotlin/umberslip/provisioning/DemandModel.kt
+++ b/src/main/kotlin/umberslip/provisioning/DemandModel.kt
@@ -5,43 +5,49 @@
 import umberslip.settings.Tuning
 import kotlin.time.DurationUnit
 
-/** Pending work for which no capacity was found yet; [tasks] is fractional, since capacity is shared out by time. */
+/** Pending work for which no capacity is planned yet. [tasks] is fractional, because capacity is divided by time. */
 internal class OpenDemand(
     val work: PendingWork,
     val tasks: Double,
 )
 
 /**
- * How many processors work keeps busy on average over a horizon. All times are seconds as plain numbers: a plan divides
- * by them for every running task. Pure.
+ * Computes how many processors work keeps busy on average over a horizon. All times are plain numbers of seconds,
+ * because a plan divides by them for every running task. Pure.
  */
 internal class DemandModel(
     tuning: Tuning,
 ) {
-    /** The time within which the known work should get done. */
+    /** The time within which the known work should be finished. */
     val drainSeconds = tuning.drain.toDouble(DurationUnit.SECONDS)
 
-    /** As [drainSeconds], for machines that are up: they work on while others would still boot. */
+    /**
+     * The time within which machines that are up should finish the known work. It is longer than [drainSeconds] by the
+     * boot time, because these machines already work while new ones would still boot.
+     */
     val drainSecondsWhenUp = drainSeconds + tuning.boot.toDouble(DurationUnit.SECONDS)
 
-    /** The time within which a machine should get [work] done. What can wait for a cheap one may take longer here. */
+    /**
+     * Returns the time within which a machine should finish [work]. On an expensive machine, work that has enough slack
+     * to wait for a cheap one may take longer.
+     */
     fun horizonSeconds(
         work: PendingWork,
         isUp: Boolean,
         isExpensive: Boolean,
     ): Double {
         val horizon = if (isUp) drainSecondsWhenUp else drainSeconds
-        return if (isExpensive) maxOf(horizon, work.slack.toDouble(DurationUnit.SECONDS) * PATIENCE) else horizon
+        return if (isExpensive) maxOf(horizon, work.slack.toDouble(DurationUnit.SECONDS) * MAX_SLACK_SHARE) else horizon
     }
 
-    /** Processors that one task of [taskSeconds] keeps busy over the horizon. */
+    /** Returns how many processors one task of [taskSeconds] keeps busy on average over the horizon. */
     fun busyCpus(
         task: Resources,
         taskSeconds: Double,
         horizonSeconds: Double,
     ): Double = task.cpus.coerceAtLeast(MIN_CPUS) * minOf(1.0, taskSeconds / horizonSeconds)
 
-    /** By how much a task blocks more of [machine] than its own processors, since memory counts as well. */
+    /** Returns the factor by which a task blocks more of [machine] than its own processors, because of its memory. */
     fun memoryWeight(
         task: Resources,
         machine: Resources,
@@ -50,7 +56,7 @@
         return maxOf(1.0, cpusByMemory / task.cpus.coerceAtLeast(MIN_CPUS))
     }
 
-    /** [busyCpus] with the [memoryWeight] on one machine. */
+    /** Returns the [busyCpus] of a task, multiplied by its [memoryWeight] on [machine]. */
     fun blockedCpus(
         task: Resources,
         taskSeconds: Double,
@@ -59,10 +65,10 @@
     ): Double = busyCpus(task, taskSeconds, horizonSeconds) * memoryWeight(task, machine)
 
     companion object {
-        /** A task or an instance type without processors still counts for something. */
+        /** A task or an instance type with fewer processors, or none, counts as having this many. */
         const val MIN_CPUS = 0.1
 
-        /** The part of its slack that work may take to get done on expensive machines. */
-        private const val PATIENCE = 0.25
+        /** The share of its slack that work may use up when it runs on expensive machines. */
+        private const val MAX_SLACK_SHARE = 0.25
     }
 }
--- a/src/main/kotlin/umberslip/provisioning/IdleMachines.kt
+++ b/src/main/kotlin/umberslip/provisioning/IdleMachines.kt
@@ -7,19 +7,20 @@
 import kotlin.time.Duration
 
 /**
- * Knows since when each machine has been surplus without a break. Surplus machines get no new tasks; when they stay
- * surplus, tasks with checkpoints are migrated away from them, and once empty they are terminated, the expensive
- * ordinary ones sooner than spot instances. So are quarantined machines, whatever the need.
+ * Tracks since when each machine has been surplus without interruption. Surplus machines get no new tasks. If they stay
+ * surplus, tasks with checkpoints are migrated away from them, and once empty they are terminated. Ordinary machines
+ * are terminated sooner than spot instances, because they are more expensive. Quarantined machines get no new tasks
+ * either and are terminated once empty, whatever the demand.
  */
 internal class IdleMachines(
     private val tuning: Tuning,
 ) {
     private val idleSince = HashMap<MachineName, Duration>()
 
-    /** Begins a leader's term. */
+    /** Resets the state for a new leader's term. */
     fun clear() = idleSince.clear()
 
-    /** Takes over the [surplus] of a new plan. */
+    /** Replaces the surplus machines by those of a new plan; machines that stay surplus keep their start time. */
     fun update(
         surplus: Set<MachineName>,
         now: Duration,
@@ -28,8 +29,8 @@
         surplus.forEach { idleSince.getOrPut(it) { now } }
     }
 
-    /** What the leader is to drain. */
-    fun drain(
+    /** Returns the message that tells the leader which machines to drain. */
+    fun drainMessage(
         machines: List<MachineSnapshot>,
         now: Duration,
     ) = LeaderMessage.Drain(
@@ -37,8 +38,8 @@
         machines.filter { isIdleFor(it, tuning.idle, now) }.mapTo(HashSet()) { it.name },
     )
 
-    /** Machines without tasks that are to be terminated. */
-    fun terminable(
+    /** Returns the machines without tasks that are to be terminated. */
+    fun findTerminable(
         machines: List<MachineSnapshot>,
         now: Duration,
     ): List<MachineName> =
@@ -48,9 +49,9 @@
 
     private fun isIdleFor(
         machine: MachineSnapshot,
-        time: Duration,
+        duration: Duration,
         now: Duration,
-    ): Boolean = idleSince[machine.name]?.let { now - it >= time } ?: false
+    ): Boolean = idleSince[machine.name]?.let { now - it >= duration } ?: false
 
     private fun maxIdleTime(machine: MachineSnapshot): Duration {
         if (machine.offer.spot) return tuning.idle
@@ -58,7 +59,7 @@
     }
 
     private companion object {
-        /** An ordinary machine costs more, so it may be idle for one part in so many of a spot instance's time. */
+        /** An ordinary machine costs more than a spot instance, so the time that it may be idle is divided by this. */
         const val ORDINARY_IDLE_DIVISOR = 4
     }
 }
--- a/src/main/kotlin/umberslip/provisioning/MachineTermination.kt
+++ b/src/main/kotlin/umberslip/provisioning/MachineTermination.kt
@@ -12,36 +12,43 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Terminates machines at the cloud. The leader agrees first and gives them no more work; it learns of the end only once
- * the cloud has confirmed it, and starts their tasks elsewhere then.
+ * Terminates machines at the cloud. The leader first agrees to the termination of a machine and then assigns no more
+ * work to it. The leader is told that the machine is terminated only after the cloud has confirmed it, and then starts
+ * the machine's tasks elsewhere.
  */
 internal class MachineTermination(
     private val cloud: Cloud,
     private val leader: Leader,
     private val log: Logger,
 ) {
-    /** Replaced with each term, so that what a former leader state agreed to late is not taken for the new one's. */
+    /** Replaced in each term, so that a late agreement from a former term does not enqueue machines in the new term. */
     private var pending = LinkedHashSet<MachineName>()
     private val terminated = HashSet<MachineName>()
-    private val rejectedUntil = HashMap<MachineName, Duration>()
+    private val retryRejectedAt = HashMap<MachineName, Duration>()
     private var maxBatch = CloudLimits.MACHINES_PER_TERMINATION
 
-    /** Begins a leader's term: what is still to be terminated shows again in the cloud's list. */
+    /**
+     * Resets the state for a new leader's term. Machines that are still to be terminated appear in the cloud's list
+     * again.
+     */
     fun clear() {
         pending = LinkedHashSet()
         terminated.clear()
-        rejectedUntil.clear()
+        retryRejectedAt.clear()
         maxBatch = CloudLimits.MACHINES_PER_TERMINATION
     }
 
     fun isPendingOrTerminated(name: MachineName): Boolean = name in pending || name in terminated
 
-    /** For a machine that the leader has given no work. */
+    /** Enqueues a machine to which the leader has assigned no work. */
     fun enqueue(name: MachineName) {
         pending += name
     }
 
-    /** Enqueues those that the leader agrees to: without [evenIfBusy], those that have no tasks. */
+    /**
+     * Asks the leader which of the machines may be terminated, and enqueues these. Without [evenIfBusy], the leader
+     * agrees only to machines without tasks.
+     */
     suspend fun request(
         names: List<MachineName>,
         evenIfBusy: Boolean,
@@ -49,18 +56,18 @@
         if (names.isEmpty()) return
         val agreed = CompletableDeferred<List<MachineName>>()
         val request = LeaderMessage.PrepareTermination(names.toSet(), evenIfBusy) { agreed.complete(it) }
-        val ofTerm = pending
-        if (leader.enqueue(request)) ofTerm += agreed.await()
+        val pendingOfTerm = pending
+        if (leader.enqueue(request)) pendingOfTerm += agreed.await()
     }
 
-    /** Terminates one batch; the rest and a batch that failed follow with the next call. */
+    /** Terminates one batch. The next call continues with the remaining machines, or repeats a batch that failed. */
     suspend fun terminatePending(now: Duration) {
-        val names = pending.filter { (rejectedUntil[it] ?: Duration.ZERO) <= now }.take(maxBatch)
+        val names = pending.filter { (retryRejectedAt[it] ?: Duration.ZERO) <= now }.take(maxBatch)
         if (names.isEmpty()) return
         try {
             cloud.terminate(names)
         } catch (e: RequestRejectedException) {
-            rejected(names, e.message, now)
+            handleRejection(names, e.message, now)
             return
         }
         log.info("machines terminated: machines={}", names.joinToString { it.value })
@@ -70,19 +77,22 @@
         leader.enqueue(LeaderMessage.Terminated(names))
     }
 
-    /** A batch of half the size follows, so that one name that the cloud rejects is found and left for a while. */
-    private fun rejected(
+    /**
+     * Halves the size of the next batch, so that repeated rejections isolate the one machine that the cloud rejects.
+     * That machine is then not retried for [REJECTED_RETRY_DELAY].
+     */
+    private fun handleRejection(
         names: List<MachineName>,
         reason: String?,
         now: Duration,
     ) {
         log.error("termination rejected: reason={} machines={}", reason, names.joinToString { it.value })
         maxBatch = maxOf(1, names.size / 2)
-        if (names.size == 1) rejectedUntil[names.single()] = now + REJECTED_RETRY
+        if (names.size == 1) retryRejectedAt[names.single()] = now + REJECTED_RETRY_DELAY
     }
 
     private companion object {
-        /** How long a machine is left that the cloud refused to terminate. */
-        val REJECTED_RETRY = 60.seconds
+        /** How long to wait before the termination of a machine is retried after the cloud rejected it. */
+        val REJECTED_RETRY_DELAY = 60.seconds
     }
 }
--- a/src/main/kotlin/umberslip/provisioning/OfferBackoff.kt
+++ b/src/main/kotlin/umberslip/provisioning/OfferBackoff.kt
@@ -6,9 +6,10 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Which offers are not to be requested for a while, since they had too little capacity or the cloud rejected a request
- * for them. After a rejection an offer is requested again with one machine, and with twice as many after each success:
- * the number may be what the cloud rejects. Pure.
+ * Tracks which offers must not be requested for a while, because they had too little capacity or because the cloud
+ * rejected a request for them. After a rejection, the next request for the offer asks for one machine, and the number
+ * doubles after each success, because the number may be the reason for the rejection. Performs no I/O; time is an
+ * input.
  */
 internal class OfferBackoff {
     private class Rejections(
@@ -19,30 +20,30 @@
     private val backedOffUntil = HashMap<Offer, Duration>()
     private val rejections = HashMap<Offer, Rejections>()
 
-    /** Whether the offer is not to be requested at that time. */
+    /** Whether the offer must not be requested at [now]. */
     fun isBackedOff(
         offer: Offer,
         now: Duration,
     ): Boolean = (backedOffUntil[offer] ?: Duration.ZERO) > now
 
-    /** Whether an offer is backed off since a request for it was rejected. */
-    fun hasRejected(now: Duration): Boolean = rejections.keys.any { isBackedOff(it, now) }
+    /** Whether any offer is backed off because a request for it was rejected. */
+    fun hasRejectedOffer(now: Duration): Boolean = rejections.keys.any { isBackedOff(it, now) }
 
-    /** The most machines to ask for in one request. */
+    /** Returns the most machines to ask for in one request. */
     fun maxPerRequest(offer: Offer): Int = rejections[offer]?.maxPerRequest ?: CloudLimits.MACHINES_PER_REQUEST
 
-    /** The offer had fewer machines than were requested. */
-    fun outOfCapacity(
+    /** Backs off an offer that had fewer machines than requested. */
+    fun onOutOfCapacity(
         offer: Offer,
         now: Duration,
     ) {
         backedOffUntil[offer] = now + CAPACITY_BACK_OFF
     }
 
-    /** All machines that were requested are provisioned. */
-    fun provisioned(offer: Offer) {
-        val former = rejections[offer] ?: return
-        val doubled = former.maxPerRequest * 2
+    /** Raises the limit per request after all requested machines of the offer were provisioned. */
+    fun onProvisioned(offer: Offer) {
+        val previous = rejections[offer] ?: return
+        val doubled = previous.maxPerRequest * 2
         if (doubled > CloudLimits.MACHINES_PER_REQUEST) {
             rejections.remove(offer)
         } else {
@@ -50,28 +51,28 @@
         }
     }
 
-    /** The cloud rejected a request for the offer; from the second time in a row on it is left alone for longer. */
-    fun rejected(
+    /** Backs off an offer after a rejected request, for longer from the second rejection in a row on. */
+    fun onRejected(
         offer: Offer,
         now: Duration,
     ) {
-        val before = rejections[offer]?.count ?: 0
-        backedOffUntil[offer] = now + if (before == 0) FIRST_REJECTION_BACK_OFF else REJECTION_BACK_OFF
-        rejections[offer] = Rejections(before + 1, maxPerRequest = 1)
+        val rejectionsBefore = rejections[offer]?.count ?: 0
+        backedOffUntil[offer] = now + if (rejectionsBefore == 0) FIRST_REJECTION_BACK_OFF else REJECTION_BACK_OFF
+        rejections[offer] = Rejections(rejectionsBefore + 1, maxPerRequest = 1)
     }
 
-    /** Begins a leader's term. */
+    /** Resets the state for a new leader's term. */
     fun clear() {
         backedOffUntil.clear()
         rejections.clear()
     }
 
     private companion object {
-        /** Capacity seldom comes back sooner; other offers are used meanwhile. */
+        /** Capacity seldom becomes available again sooner; other offers are used meanwhile. */
         val CAPACITY_BACK_OFF = 30.seconds
         val FIRST_REJECTION_BACK_OFF = 15.seconds
 
-        /** Tried twice a minute, since every job should begin within four. */
+        /** Allows two attempts a minute, because every job should start within four minutes. */
         val REJECTION_BACK_OFF = 30.seconds
     }
 }
--- a/src/main/kotlin/umberslip/provisioning/Provisioner.kt
+++ b/src/main/kotlin/umberslip/provisioning/Provisioner.kt
@@ -29,8 +29,8 @@
 
 /**
  * Provisions and terminates machines while this controller leads. It runs in a loop of its own beside the leader actor,
- * since the cloud is slow and nobody should wait for it; both run on the thread of [scope] and speak by messages.
- * [onInstanceTypes] is called with what the cloud offers whenever that was read.
+ * so that nothing else has to wait for the slow cloud. Both run on the thread of [scope] and communicate by messages.
+ * [onInstanceTypes] is called with the cloud's instance types each time they have been read.
  */
 class Provisioner(
     private val scope: CoroutineScope,
@@ -67,25 +67,25 @@
     private var instanceTypes: Map<String, InstanceType> = emptyMap()
     private var instanceTypesReadAt: Duration? = null
     private val failures = FailureSeries()
-    private val unreadable = FailureSeries()
+    private val unreadableResponses = FailureSeries()
     private var oldestUnstartedSince: Duration? = null
-    private var summaryAt = Duration.ZERO
+    private var lastSummaryAt = Duration.ZERO
     private var electedAt = Duration.ZERO
-    private var workersInContactAt = Duration.ZERO
+    private var firstContactDeadline = Duration.ZERO
 
-    /** How long this round's snapshot and plan took. */
+    /** How long it took to compute the snapshot and the plan of this round. */
     private var planningTime = Duration.ZERO
 
     /**
-     * Workers send heartbeats to a new leader within this time; until then a machine without contact is neither missing
-     * nor surplus.
+     * Workers send heartbeats to a new leader within this time. Until it has passed, a machine without contact is
+     * neither missing nor surplus.
      */
     private val firstContactTime = settings.workers.heartbeatInterval * 2 + 2.seconds
 
-    /** Runs rounds until [scope] ends; a round in which this controller does not lead does nothing. */
+    /** Runs rounds until [scope] ends. While this controller does not lead, rounds provision and terminate nothing. */
     fun start(): Job {
         metrics.register(
-            unresolved = { if (leaderLease.isLeader) requests.unresolved else 0 },
+            unresolvedCount = { if (leaderLease.isLeader) requests.unresolvedCount else 0 },
             unresolvedSince = { requests.unresolvedSince.takeIf { leaderLease.isLeader } },
             unprovisionedSince = { unprovisionedWork.since.takeIf { leaderLease.isLeader } },
             oldestUnstartedSince = { oldestUnstartedSince.takeIf { leaderLease.isLeader } },
@@ -94,24 +94,24 @@
             val began = clock.now()
             planningTime = Duration.ZERO
             tryRound()
-            // A plan looks at every machine and task: in a large cluster it is made less often, so that
-            // heartbeats and users have their turn.
-            delay(maxOf(MIN_ROUND, planningTime * PLANNING_SHARE - (clock.now() - began)))
+            // A plan examines every machine and task. In a large cluster, plans are made less often, so that they do
+            // not delay heartbeats and users' requests.
+            delay(maxOf(MIN_ROUND, planningTime * MIN_ROUND_PER_PLANNING - (clock.now() - began)))
         }
     }
 
     private suspend fun tryRound() {
         try {
             if (!runRound()) return
-            val failed = failures.succeeded() + unreadable.succeeded()
-            if (failed > 0) log.info("cloud available again: failures={}", failed)
+            val failureCount = failures.succeeded() + unreadableResponses.succeeded()
+            if (failureCount > 0) log.info("cloud available again: failures={}", failureCount)
         } catch (e: ServiceException) {
             backOff(e.message)
         } catch (e: MalformedMessageException) {
-            if (unreadable.failed(clock.now())) {
-                log.error("cloud response unreadable: reason={} failures={}", e.message, unreadable.count)
+            if (unreadableResponses.failed(clock.now())) {
+                log.error("cloud response unreadable: reason={} failures={}", e.message, unreadableResponses.count)
             }
-            stillUnprovisioned(UnprovisionedReason.CLOUD_UNAVAILABLE)
+            reportUnprovisioned(UnprovisionedReason.CLOUD_UNAVAILABLE)
             delay(FAILURE_DELAY)
         }
     }
@@ -121,26 +121,26 @@
         if (failures.failed(now)) {
             log.warn("cloud unavailable: reason={} failures={} for={}", reason, failures.count, failures.lasted(now))
         }
-        stillUnprovisioned(UnprovisionedReason.CLOUD_UNAVAILABLE)
+        reportUnprovisioned(UnprovisionedReason.CLOUD_UNAVAILABLE)
         delay(FAILURE_DELAY)
     }
 
-    private fun stillUnprovisioned(reason: UnprovisionedReason) {
-        if (leaderLease.isLeader) unprovisionedWork.failed(reason, clock.now())
+    private fun reportUnprovisioned(reason: UnprovisionedReason) {
+        if (leaderLease.isLeader) unprovisionedWork.onFailure(reason, clock.now())
     }
 
     /**
-     * Begins a leader's term from the record of booting machines that its predecessor persisted; the rest shows in the
-     * cloud's list and in heartbeats. [isFirstTerm] if there has never been a leader before. Called on the loop's
-     * thread.
+     * Starts a leader's term with the record of booting machines that the previous leader persisted. Other machines
+     * become known from the cloud's list and from heartbeats. [isFirstTerm] says whether there has never been a leader
+     * before. Must be called on the thread of the loop.
      */
     fun elected(
         bootingMachines: Any?,
         isFirstTerm: Boolean,
     ) {
         electedAt = clock.now()
-        // The first leader of all has no workers to wait for.
-        workersInContactAt = if (isFirstTerm) electedAt else electedAt + firstContactTime
+        // In the very first term, there are no workers to wait for.
+        firstContactDeadline = if (isFirstTerm) electedAt else electedAt + firstContactTime
         requests.clear()
         unprovisionedWork.clear()
         oldestUnstartedSince = null
@@ -150,34 +150,35 @@
         booting.restore(bootingMachines)
     }
 
-    /** False where the round ended before its plan, without a failure. */
+    /** Returns false if the round ended before its plan was made, without a failure. */
     private suspend fun runRound(): Boolean {
         val term = leaderLease.term
         if (term == null || !leaderLease.mayStart(clock.now())) {
-            stillUnprovisioned(UnprovisionedReason.NO_LEADER_LEASE)
+            reportUnprovisioned(UnprovisionedReason.NO_LEADER_LEASE)
             refreshInstanceTypes()
             return false
         }
         val snapshot = takeSnapshot() ?: return false
         oldestUnstartedSince = snapshot.oldestUnstartedSince
         booting.removeInContact(snapshot.machines)
-        unprovisionedWork.snapshotTaken(snapshot.waiting.isNotEmpty(), clock.now())
+        unprovisionedWork.onSnapshot(snapshot.waiting.isNotEmpty(), clock.now())
         refreshInstanceTypes()
         val now = clock.now()
         reconciliation.reconcileIfDue(snapshot, now)
-        if (now < workersInContactAt || leaderLease.term != term) return false
+        if (now < firstContactDeadline || leaderLease.term != term) return false
         reconciliation.terminateOverdue(snapshot, instanceTypes, now - electedAt, now)
         booting.persistIfChanged(now)
-        // Another term may have begun while the cloud or the key-value store was slow: the snapshot is not its own.
+        // A new term, to which the snapshot does not belong, may have begun while the cloud or the key-value store was
+        // slow.
         if (leaderLease.term != term) return false
         val plan = plan(snapshot, now)
-        val provisionedBefore = requests.machinesProvisioned
+        val machinesProvisionedBefore = requests.machinesProvisioned
         logSummaryIfDue(snapshot, now)
         val scaleInFailure = scaleIn(snapshot, plan, now)
-        requests.resolve()
+        requests.resendUnresolved()
         requests.send(plan.requests, term.value)
-        val hasProvisioned = requests.machinesProvisioned > provisionedBefore
-        unprovisionedWork.planned(plan, hasProvisioned, requests.hasRejected(clock.now()), clock.now())
+        val hasProvisioned = requests.machinesProvisioned > machinesProvisionedBefore
+        unprovisionedWork.onPlan(plan, hasProvisioned, requests.hasRejectedOffer(clock.now()), clock.now())
         if (scaleInFailure != null) throw scaleInFailure
         return true
     }
@@ -191,28 +192,28 @@
             instanceTypesReadAt = clock.now()
             onInstanceTypes(offered)
         } catch (e: ServiceException) {
-            keepFormerInstanceTypes(e)
+            keepPreviousInstanceTypes(e)
         } catch (e: MalformedMessageException) {
-            keepFormerInstanceTypes(e)
+            keepPreviousInstanceTypes(e)
         }
     }
 
-    private fun keepFormerInstanceTypes(failure: Exception) {
+    private fun keepPreviousInstanceTypes(failure: Exception) {
         if (instanceTypes.isEmpty()) throw failure
-        log.warn("instance types not read, using the former ones: reason={}", failure.message)
-        instanceTypesReadAt = clock.now() - INSTANCE_TYPES_INTERVAL + INSTANCE_TYPES_RETRY
+        log.warn("instance types could not be read, using the previous ones: reason={}", failure.message)
+        instanceTypesReadAt = clock.now() - INSTANCE_TYPES_INTERVAL + INSTANCE_TYPES_RETRY_DELAY
     }
 
-    /** Null where the leader actor no longer leads. */
+    /** Returns null if the leader actor no longer leads. */
     private suspend fun takeSnapshot(): ClusterSnapshot? {
-        val taken = CompletableDeferred<ClusterSnapshot?>()
+        val answer = CompletableDeferred<ClusterSnapshot?>()
         val request =
             LeaderMessage.TakeSnapshot { snapshot, duration ->
                 planningTime += duration
-                taken.complete(snapshot)
+                answer.complete(snapshot)
             }
         if (!leader.enqueue(request)) return null
-        return taken.await()
+        return answer.await()
     }
 
     private fun plan(
@@ -220,9 +221,9 @@
         now: Duration,
     ): CapacityPlan {
         val began = clock.now()
-        val expected = requests.expected(now)
+        val expectedMachines = requests.expectedMachines(now)
         val plan =
-            planner.plan(snapshot, booting.all(), instanceTypes, expected) { requests.isBackedOff(it, now) }
+            planner.plan(snapshot, booting.all(), instanceTypes, expectedMachines) { requests.isBackedOff(it, now) }
         planningTime += clock.now() - began
         return plan
     }
@@ -231,12 +232,15 @@
         snapshot: ClusterSnapshot,
         now: Duration,
     ) {
-        if (now < summaryAt + SUMMARY_INTERVAL) return
-        summaryAt = now
+        if (now < lastSummaryAt + SUMMARY_INTERVAL) return
+        lastSummaryAt = now
         logCapacity(log, snapshot, booting.cpus(instanceTypes))
     }
 
-    /** Returns why machines were not terminated, if the cloud failed: provisioning does not depend on that. */
+    /**
+     * Has the leader drain machines, and terminates those that are not needed or unresponsive. Returns the exception if
+     * the termination failed at the cloud, instead of throwing it, because provisioning does not depend on it.
+     */
     private suspend fun scaleIn(
         snapshot: ClusterSnapshot,
         plan: CapacityPlan,
@@ -244,9 +248,9 @@
     ): ServiceException? {
         val machines = snapshot.machines
         idleMachines.update(plan.surplus, now)
-        leader.enqueue(idleMachines.drain(machines, now))
-        termination.request(idleMachines.terminable(machines, now), evenIfBusy = false)
-        termination.request(unresponsiveMachines.of(machines), evenIfBusy = true)
+        leader.enqueue(idleMachines.drainMessage(machines, now))
+        termination.request(idleMachines.findTerminable(machines, now), evenIfBusy = false)
+        termination.request(unresponsiveMachines.find(machines), evenIfBusy = true)
         return try {
             termination.terminatePending(now)
             null
@@ -258,17 +262,20 @@
     private companion object {
         val MIN_ROUND = 700.milliseconds
 
-        /** Planning takes at most one part in so many of the time. */
-        const val PLANNING_SHARE = 30
+        /**
+         * A round lasts at least this many times as long as its planning, so that planning takes at most one part in
+         * this many of the time.
+         */
+        const val MIN_ROUND_PER_PLANNING = 30
 
-        /** How long to leave the cloud alone after a failure. */
+        /** How long to wait after a failure before the cloud is called again. */
         val FAILURE_DELAY = 1.seconds
 
-        /** Types and prices change seldom. */
+        /** Instance types and prices change seldom. */
         val INSTANCE_TYPES_INTERVAL = 60.seconds
 
-        /** After a read of them that failed. */
-        val INSTANCE_TYPES_RETRY = 10.seconds
+        /** How long to wait after the instance types could not be read. */
+        val INSTANCE_TYPES_RETRY_DELAY = 10.seconds
         val SUMMARY_INTERVAL = 10.seconds
     }
 }
--- a/src/main/kotlin/umberslip/provisioning/ProvisioningMetrics.kt
+++ b/src/main/kotlin/umberslip/provisioning/ProvisioningMetrics.kt
@@ -7,7 +7,10 @@
 import kotlin.time.Duration
 import kotlin.time.DurationUnit
 
-/** Publishes what became of provisioning requests, which of them are unresolved, and how long work goes without. */
+/**
+ * Publishes the outcomes of provisioning requests, the number and age of unresolved requests, and how long work has
+ * been waiting for machines and jobs for their first task.
+ */
 internal class ProvisioningMetrics(
     private val clock: Clock,
     private val metrics: MeterRegistry,
@@ -17,17 +20,17 @@
             metrics.counter(REQUESTS, OUTCOME_TAG, it.name.lowercase())
         }
 
-    /** Counts a request that ended so. */
+    /** Counts a request with this outcome. */
     fun count(outcome: ProvisioningOutcome) = requests.getValue(outcome).increment()
 
-    /** Registers the gauges, once; times are null where there is nothing. */
+    /** Registers the gauges; to be called once. A function for a time returns null if there is nothing to measure. */
     fun register(
-        unresolved: () -> Int,
+        unresolvedCount: () -> Int,
         unresolvedSince: () -> Duration?,
         unprovisionedSince: () -> Duration?,
         oldestUnstartedSince: () -> Duration?,
     ) {
-        metrics.publishGauge(UNRESOLVED) { unresolved().toDouble() }
+        metrics.publishGauge(UNRESOLVED) { unresolvedCount().toDouble() }
         metrics.publishGauge(OLDEST_UNRESOLVED) { secondsSince(unresolvedSince()) }
         metrics.publishGauge(UNPROVISIONED) { secondsSince(unprovisionedSince()) }
         metrics.publishGauge(OLDEST_UNSTARTED) { secondsSince(oldestUnstartedSince()) }
@@ -44,10 +47,13 @@
         const val UNRESOLVED = "umberslip.provisioning.unresolved"
         const val OLDEST_UNRESOLVED = "umberslip.provisioning.oldest.unresolved.seconds"
 
-        /** How long work has waited while no machine was provisioned for it; to alert on. */
+        /** How long work has waited while no machine was provisioned for it; intended for alerts. */
         const val UNPROVISIONED = "umberslip.provisioning.unprovisioned.seconds"
 
-        /** How long the oldest job without a started task has been runnable, whatever the reason; to alert on. */
+        /**
+         * How long the oldest job without a started task has been runnable, whatever the reason for the wait; intended
+         * for alerts.
+         */
         const val OLDEST_UNSTARTED = "umberslip.jobs.oldest.unstarted.seconds"
     }
 }
--- a/src/main/kotlin/umberslip/provisioning/ProvisioningOutcome.kt
+++ b/src/main/kotlin/umberslip/provisioning/ProvisioningOutcome.kt
@@ -1,19 +1,19 @@
 package umberslip.provisioning
 
-/** What became of a provisioning request. */
+/** The outcome of an attempt to send a provisioning request. */
 enum class ProvisioningOutcome {
     PROVISIONED,
 
-    /** There were fewer machines than requested. */
+    /** The cloud provisioned fewer machines than requested. */
     PARTLY_PROVISIONED,
     NO_CAPACITY,
 
-    /** Refused for what it asks for; it is not sent again. */
+    /** The cloud rejected the request because of its content; it is not sent again. */
     REJECTED,
 
-    /** Refused for now, certainly not carried out. */
+    /** The cloud refused the attempt for now; the attempt was certainly not carried out. */
     REFUSED,
 
-    /** No response, or an unreadable one: carried out or not, or later. */
+    /** There was no response, or an unreadable one: the request may have been carried out, or may yet be. */
     INDETERMINATE,
 }
--- a/src/main/kotlin/umberslip/provisioning/ProvisioningRequests.kt
+++ b/src/main/kotlin/umberslip/provisioning/ProvisioningRequests.kt
@@ -13,11 +13,12 @@
 import kotlin.time.Duration
 
 /**
- * Sends provisioning requests, each with a name of its own, under which the cloud carries it out once only.
+ * Sends provisioning requests. Each request has a unique name, under which the cloud carries it out only once.
  *
- * One with an indeterminate outcome is sent again under the same name until it is resolved. One that was rejected is
- * not sent again; its offer is left alone for a while, and the others are sent. One that was refused for now is dropped
- * and ends the round: the next plan says what is needed then.
+ * A request with an indeterminate outcome is sent again under the same name until it is resolved. A rejected request is
+ * not sent again; its offer is backed off, and the other requests are still sent. A request that was refused for now
+ * ends the round and is dropped, unless an earlier attempt may have been carried out. The next plan decides what is
+ * needed then.
  */
 internal class ProvisioningRequests(
     private val settings: Settings,
@@ -29,109 +30,114 @@
     private val log: Logger,
 ) {
     private val backoff = OfferBackoff()
-    private var ofTerm = RequestsOfTerm()
+    private var currentRequests = TermRequests()
 
-    /** What belongs to one term. A call that outlasts its term goes on with its own, which nobody else uses then. */
-    private class RequestsOfTerm {
+    /** The requests of one term. A call that outlasts its term continues with these, which nothing else uses then. */
+    private class TermRequests {
         val unresolved = UnresolvedRequests()
-        var count = 0
+        var requestCount = 0
     }
 
-    /** How many machines the cloud has provisioned for this controller, in all terms. */
+    /** How many machines the cloud has provisioned for this controller in all of its terms. */
     var machinesProvisioned = 0
         private set
 
-    /** How many requests are unresolved. */
-    val unresolved: Int get() = ofTerm.unresolved.size
+    val unresolvedCount: Int get() = currentRequests.unresolved.size
 
-    /** When the oldest unresolved request was first sent; null where there is none. */
-    val unresolvedSince: Duration? get() = ofTerm.unresolved.oldestSince
+    /** When the oldest unresolved request was first sent; null if there is none. */
+    val unresolvedSince: Duration? get() = currentRequests.unresolved.oldestSentAt
 
-    /** Begins a leader's term; names have the term in them, so none is used again. */
+    /** Resets the state for a new leader's term. Request names contain the term, so no name is used again. */
     fun clear() {
-        ofTerm = RequestsOfTerm()
+        currentRequests = TermRequests()
         backoff.clear()
     }
 
-    /** Whether [offer] lately had less capacity than was requested, or a request for it was rejected. */
+    /** Whether [offer] recently had less capacity than requested, or a request for it was rejected. */
     fun isBackedOff(
         offer: Offer,
         now: Duration,
     ): Boolean = backoff.isBackedOff(offer, now)
 
-    /** Whether some offer is backed off since a request for it was rejected. */
-    fun hasRejected(now: Duration): Boolean = backoff.hasRejected(now)
+    /** Whether any offer is backed off because a request for it was rejected. */
+    fun hasRejectedOffer(now: Duration): Boolean = backoff.hasRejectedOffer(now)
 
-    /** The machines that unresolved requests may have provisioned, for the plan to count on. */
-    fun expected(now: Duration): List<ProvisioningRequest> = ofTerm.unresolved.expected(now)
+    /** Returns the machines that unresolved requests may have provisioned; plans count them as booting. */
+    fun expectedMachines(now: Duration): List<ProvisioningRequest> = currentRequests.unresolved.expectedMachines(now)
 
-    /** Sends the unresolved requests again that are due, as long as the leader lease allows it. */
-    suspend fun resolve() {
-        val current = ofTerm
-        for (named in current.unresolved.due(clock.now())) {
-            if (current !== ofTerm || !leaderLease.mayStart(clock.now())) return
-            send(named, current)
+    /** Sends the unresolved requests that are due again, as long as the leader lease permits it. */
+    suspend fun resendUnresolved() {
+        val initialRequests = currentRequests
+        for (named in initialRequests.unresolved.dueRequests(clock.now())) {
+            if (initialRequests !== currentRequests || !leaderLease.mayStart(clock.now())) return
+            send(named, initialRequests)
         }
     }
 
-    /** Sends new requests, as long as the leader lease of [term] allows it. */
+    /** Sends new requests, as long as the leader lease of [term] permits it. */
     suspend fun send(
         requests: List<ProvisioningRequest>,
         term: Long,
     ) {
-        val current = ofTerm
+        val initialRequests = currentRequests
         for (request in requests) {
             var open = request.number
-            // Ends early where an earlier part met the end of the capacity, or was rejected.
+            // The loop ends early if an earlier part exhausted the capacity or was rejected.
             while (open > 0 && !isBackedOff(request.offer, clock.now())) {
-                if (!maySend(current, term)) return
+                if (!maySend(initialRequests, term)) return
                 val part = request.copy(number = minOf(open, backoff.maxPerRequest(request.offer)))
-                send(NamedRequest("${settings.member}-$term-${++current.count}", part, clock.now()), current)
+                send(
+                    NamedRequest("${settings.member}-$term-${++initialRequests.requestCount}", part, clock.now()),
+                    initialRequests,
+                )
                 open -= part.number
             }
         }
     }
 
-    /** Whether the term, which numbers its requests, is still that of the leader. */
+    /**
+     * Whether [requests] and [term], from which request names are built, are still current and the lease permits
+     * requests.
+     */
     private fun maySend(
-        requests: RequestsOfTerm,
+        requests: TermRequests,
         term: Long,
-    ): Boolean = requests === ofTerm && leaderLease.term?.value == term && leaderLease.mayStart(clock.now())
+    ): Boolean = requests === currentRequests && leaderLease.term?.value == term && leaderLease.mayStart(clock.now())
 
     private suspend fun send(
         named: NamedRequest,
-        ofTerm: RequestsOfTerm,
+        termRequests: TermRequests,
     ) {
-        ofTerm.unresolved.attempt(named, clock.now())
+        termRequests.unresolved.startAttempt(named, clock.now())
         try {
             val names = cloud.provision(named.name, named.request.offer, named.request.number).orEmpty().distinct()
-            ofTerm.unresolved.resolve(named)
-            provisioned(named, names)
+            termRequests.unresolved.resolve(named)
+            onProvisioned(named, names)
         } catch (e: RequestRejectedException) {
-            ofTerm.unresolved.resolve(named)
-            rejected(named, e.message)
+            termRequests.unresolved.resolve(named)
+            onRejected(named, e.message)
         } catch (e: ServiceUnavailableException) {
-            // Only this attempt was certainly not carried out.
-            if (!ofTerm.unresolved.wasRepeated(named)) ofTerm.unresolved.resolve(named)
-            answered(named, ProvisioningOutcome.REFUSED, provisioned = 0, e.message)
+            // This attempt was certainly not carried out, but an earlier one may have been.
+            if (!termRequests.unresolved.wasRepeated(named)) termRequests.unresolved.resolve(named)
+            reportOutcome(named, ProvisioningOutcome.REFUSED, provisioned = 0, e.message)
             throw e
         } catch (e: NoResponseException) {
-            answered(named, ProvisioningOutcome.INDETERMINATE, provisioned = 0, e.message)
+            reportOutcome(named, ProvisioningOutcome.INDETERMINATE, provisioned = 0, e.message)
             throw e
         }
     }
 
-    private suspend fun provisioned(
+    private suspend fun onProvisioned(
         named: NamedRequest,
         names: List<MachineName>,
     ) {
         val request = named.request
         val now = clock.now()
-        answered(named, outcome(names.size, request.number), names.size, reason = null)
+        reportOutcome(named, outcomeOf(names.size, request.number), names.size, reason = null)
         if (names.size < request.number) {
-            backoff.outOfCapacity(request.offer, now)
+            backoff.onOutOfCapacity(request.offer, now)
         } else {
-            backoff.provisioned(request.offer)
+            backoff.onProvisioned(request.offer)
         }
         if (names.isEmpty()) return
         machinesProvisioned += names.size
@@ -139,13 +145,13 @@
         booting.persist()
     }
 
-    private fun rejected(
+    private fun onRejected(
         named: NamedRequest,
         reason: String?,
     ) {
         val request = named.request
         metrics.count(ProvisioningOutcome.REJECTED)
-        backoff.rejected(request.offer, clock.now())
+        backoff.onRejected(request.offer, clock.now())
         log.error(
             "provisioning request rejected: request={} type={} zone={} spot={} wanted={} reason={}",
             named.name,
@@ -157,7 +163,7 @@
         )
     }
 
-    private fun outcome(
+    private fun outcomeOf(
         provisioned: Int,
         requested: Int,
     ): ProvisioningOutcome =
@@ -167,7 +173,7 @@
             else -> ProvisioningOutcome.PROVISIONED
         }
 
-    private fun answered(
+    private fun reportOutcome(
         named: NamedRequest,
         outcome: ProvisioningOutcome,
         provisioned: Int,
--- a/src/main/kotlin/umberslip/provisioning/Supply.kt
+++ b/src/main/kotlin/umberslip/provisioning/Supply.kt
@@ -9,8 +9,8 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * The capacity of one machine in a plan: one that is up, boots, or would be provisioned ([machineName] is null then).
- * [freeCpus] shrinks while the plan puts work on it.
+ * The capacity of one machine in a plan. The machine is up, is booting, or would be provisioned; [machineName] is null
+ * as long as the cloud has not named the machine. [freeCpus] decreases while the plan assigns work to the machine.
  */
 internal class Supply(
     val offer: Offer,
@@ -20,32 +20,34 @@
     val isUp: Boolean,
     var freeCpus: Double,
     var isUsed: Boolean = false,
-    /** What tasks that never end by themselves leave of [resources]. */
-    private val leftByEndless: Resources = resources,
+    /** The part of [resources] that is not held by tasks that never end by themselves. */
+    private val resourcesBesideEndless: Resources = resources,
 ) {
-    /** Whether pending work was planned for it. */
+    /** Whether the plan has assigned pending work to the machine. */
     var hasPendingWork = false
         private set
 
     /** Whether a task can ever be placed on the machine, once other tasks have ended. */
-    fun canHold(task: Resources): Boolean = leftByEndless.covers(task)
+    fun canHold(task: Resources): Boolean = resourcesBesideEndless.covers(task)
 
     /** How many tasks the machine can hold at the same time, once other tasks have ended. */
-    fun places(task: Resources): Int = if (canHold(task)) leftByEndless.countOf(task) else 0
+    fun placesFor(task: Resources): Int = if (canHold(task)) resourcesBesideEndless.countOf(task) else 0
 
-    /** Plans pending work that blocks [cpus] for this machine. */
-    fun take(cpus: Double) {
+    /** Assigns pending work that blocks [cpus] to this machine. */
+    fun planWork(cpus: Double) {
         freeCpus -= cpus
         isUsed = true
         hasPendingWork = true
     }
 }
 
-/** What the cloud's instance types cost for each processor and hour; an unknown type counts as the most expensive. */
+/**
+ * The prices of the cloud's instance types per processor and hour. An unknown type counts as the most expensive one.
+ */
 internal class Prices(
     private val instanceTypes: Map<String, InstanceType>,
 ) {
-    /** The price of a processor for an hour. */
+    /** Returns the price of one processor for an hour. */
     fun perCpu(offer: Offer): Double {
         val instanceType = instanceTypes[offer.type] ?: return Double.MAX_VALUE
         val price = if (offer.spot) instanceType.spotPrice else instanceType.price
@@ -53,27 +55,27 @@
     }
 }
 
-/** The machines that are up or boot at the time of a plan, as supply for pending work. */
+/** The machines that are up or booting at the time of a plan, as supply for pending work. */
 internal class ExistingSupply(
     private val demand: DemandModel,
     private val instanceTypes: Map<String, InstanceType>,
     private val prices: Prices,
 ) {
-    /** In the order of the snapshot, booting machines after those that are up. */
+    /** The machines in the order of the snapshot, followed by the booting machines. */
     val machines = ArrayList<Supply>()
 
-    /** Processors that the tasks on a machine keep busy over the drain time. */
+    /** The processors that the tasks on each machine keep busy over the drain time. */
     val busyCpus = HashMap<MachineName, Double>()
 
     /** Adds the machines that can take work. */
     fun add(
         snapshot: ClusterSnapshot,
         booting: List<BootingMachine>,
-        expected: List<ProvisioningRequest>,
+        expectedMachines: List<ProvisioningRequest>,
     ) {
         snapshot.machines.forEach(::addMachine)
         booting.forEach { addBooting(it.offer, it.name) }
-        for (request in expected) repeat(request.number) { addBooting(request.offer, machineName = null) }
+        for (request in expectedMachines) repeat(request.number) { addBooting(request.offer, machineName = null) }
     }
 
     private fun addMachine(machine: MachineSnapshot) {
@@ -91,16 +93,16 @@
                 isUp = true,
                 freeCpus = (resources.cpus - blocked).coerceAtLeast(0.0),
                 isUsed = blocked > 0,
-                leftByEndless = leftByEndless(machine, resources),
+                resourcesBesideEndless = resourcesBesideEndless(machine, resources),
             )
     }
 
-    private fun leftByEndless(
+    private fun resourcesBesideEndless(
         machine: MachineSnapshot,
         resources: Resources,
     ): Resources {
-        val endless = machine.running.filter { it.isEndless }
-        return endless.fold(resources) { left, task -> left - task.resources }
+        val endlessTasks = machine.running.filter { it.isEndless }
+        return endlessTasks.fold(resources) { left, task -> left - task.resources }
     }
 
     private fun blockedCpus(
@@ -126,7 +128,7 @@
     }
 
     private companion object {
-        /** Without contact for longer than this, several heartbeats, a machine is not planned with. */
+        /** A machine without contact for longer than this, which is several heartbeats, is left out of plans. */
         val UNRESPONSIVE_AFTER = 6.seconds
     }
 }
--- a/src/main/kotlin/umberslip/provisioning/Surplus.kt
+++ b/src/main/kotlin/umberslip/provisioning/Surplus.kt
@@ -4,16 +4,18 @@
 import umberslip.scheduling.PendingWork
 
 /**
- * Finds the machines that a plan can do without, the most expensive first: those that are up with nothing on them and
- * no pending work planned for them, and others as long as the rest can take what runs and waits. Pure.
+ * Finds the machines that a plan does not need, the most expensive first. A machine with pending work planned for it is
+ * needed. Of the other machines that are up, the empty ones are surplus, and those in use are surplus as long as the
+ * remaining machines have enough processors for the running and the waiting work. Pure.
  */
 internal class Surplus(
     private val demand: DemandModel,
 ) {
     /**
-     * The surplus of a plan that has put [waiting] on [supply]; [busyCpus] are the processors in use on each machine.
+     * Returns the surplus machines of a plan that has assigned [waiting] to [supply]. [busyCpus] are the processors in
+     * use on each machine.
      */
-    fun of(
+    fun find(
         supply: List<Supply>,
         busyCpus: Map<MachineName, Double>,
         waiting: List<PendingWork>,
@@ -25,7 +27,7 @@
         for (machine in up.sortedWith(compareBy({ -it.pricePerCpu }, { busyCpus[it.machineName] ?: 0.0 }))) {
             val name = machine.machineName
             if (name == null || machine.hasPendingWork) continue
-            // An empty machine that none of the pending work was planned for cannot help it.
+            // An empty machine for which no pending work was planned is of no use to that work.
             if (machine.isUsed && spareCpus < machine.resources.cpus * SPARE_FACTOR) continue
             spareCpus -= machine.resources.cpus
             surplus += name
@@ -34,7 +36,7 @@
     }
 
     private companion object {
-        /** A used machine is surplus only if this many times its processors are to spare. */
+        /** A machine in use is surplus only if this many times its processors are spare. */
         const val SPARE_FACTOR = 1.15
     }
 }
--- a/src/main/kotlin/umberslip/provisioning/UnprovisionedWork.kt
+++ b/src/main/kotlin/umberslip/provisioning/UnprovisionedWork.kt
@@ -4,90 +4,93 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** Why work waits while no machine is provisioned for it. */
+/** The reason why work waits and no machine is provisioned for it. */
 enum class UnprovisionedReason {
-    /** The cloud refuses requests, or does not respond. */
+    /** The cloud refuses requests or does not respond. */
     CLOUD_UNAVAILABLE,
 
-    /** The cloud rejected requests for what they ask for. */
+    /** The cloud rejected requests because of their content. */
     REQUEST_REJECTED,
 
-    /** The cloud has no capacity of any kind that would do. */
+    /** The cloud offers suitable machines, but has no capacity for any of them at present. */
     NO_CAPACITY,
 
-    /** No instance type and zone that the cloud offers would do. */
+    /** The cloud offers no suitable instance type in a suitable zone. */
     NO_OFFER,
 
-    /** The leader's lease does not allow it at present. */
+    /** The leader lease does not permit provisioning at present. */
     NO_LEADER_LEASE,
 }
 
 /**
- * Knows since when work has waited for machines of which none was provisioned, and says so in the log: once that has
- * lasted for some seconds, and again with every change of the reason.
+ * Tracks since when work has waited for machines while none was provisioned for it. Logs the wait once it has lasted
+ * for [LOG_DELAY], and again whenever the reason changes.
  */
 internal class UnprovisionedWork(
     private val log: Logger,
 ) {
-    /** Null while every need is met or being met. */
+    /** When the wait began; null while all demand is met or being met. */
     var since: Duration? = null
         private set
 
-    /** Whether work waits, as far as is known for machines. */
+    /** Whether work waits for machines. Until the next plan, any waiting work in a new snapshot counts. */
     private var needsMachines = false
     private var loggedReason: UnprovisionedReason? = null
 
-    /** What a new snapshot shows; a plan says later whether what waits needs machines. */
-    fun snapshotTaken(
+    /** Handles a new snapshot. Only the plan that follows tells whether the waiting work needs machines. */
+    fun onSnapshot(
         hasWaitingWork: Boolean,
         now: Duration,
     ) {
         needsMachines = hasWaitingWork
-        if (!hasWaitingWork) ended(now)
+        if (!hasWaitingWork) endWait(now)
     }
 
-    /** A plan was made and carried out, and has provisioned machines or not. */
-    fun planned(
+    /**
+     * Handles a plan that was made and carried out. [hasProvisioned] says whether machines were provisioned, and
+     * [hasRejectedOffer] whether offers are backed off because of rejected requests.
+     */
+    fun onPlan(
         plan: CapacityPlan,
         hasProvisioned: Boolean,
-        hasRejected: Boolean,
+        hasRejectedOffer: Boolean,
         now: Duration,
     ) {
         needsMachines = plan.requests.isNotEmpty() || plan.unprovisioned != null
         if (plan.unprovisioned == null && (hasProvisioned || plan.requests.isEmpty())) {
-            ended(now)
+            endWait(now)
             return
         }
         val reason = plan.unprovisioned ?: UnprovisionedReason.NO_CAPACITY
-        val isRejected = reason == UnprovisionedReason.NO_CAPACITY && hasRejected
-        continues(if (isRejected) UnprovisionedReason.REQUEST_REJECTED else reason, now)
+        val isRejected = reason == UnprovisionedReason.NO_CAPACITY && hasRejectedOffer
+        continueWait(if (isRejected) UnprovisionedReason.REQUEST_REJECTED else reason, now)
     }
 
-    /** Nothing could be provisioned for [reason]. */
-    fun failed(
+    /** Handles a round in which nothing could be provisioned because of [reason]. */
+    fun onFailure(
         reason: UnprovisionedReason,
         now: Duration,
     ) {
-        if (needsMachines) continues(reason, now)
+        if (needsMachines) continueWait(reason, now)
     }
 
-    private fun ended(now: Duration) {
+    private fun endWait(now: Duration) {
         val began = since ?: return
         if (loggedReason != null) log.info("work no longer waits for machines: waited={}", now - began)
         clear()
     }
 
-    private fun continues(
+    private fun continueWait(
         reason: UnprovisionedReason,
         now: Duration,
     ) {
         val began = since ?: now.also { since = it }
-        if (reason == loggedReason || now - began < PATIENCE) return
+        if (reason == loggedReason || now - began < LOG_DELAY) return
         loggedReason = reason
         log.warn("work waits and no machine is provisioned: reason={} for={}", reason, now - began)
     }
 
-    /** Begins a leader's term. */
+    /** Resets the state for a new leader's term. */
     fun clear() {
         since = null
         needsMachines = false
@@ -95,7 +98,7 @@
     }
 
     private companion object {
-        /** One request that fails and is repeated takes no longer. */
-        val PATIENCE = 10.seconds
+        /** A single request that fails and is repeated takes no longer than this. */
+        val LOG_DELAY = 10.seconds
     }
 }
--- a/src/main/kotlin/umberslip/provisioning/UnresolvedRequests.kt
+++ b/src/main/kotlin/umberslip/provisioning/UnresolvedRequests.kt
@@ -3,17 +3,17 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** A provisioning request with the name under which the cloud carries it out once only. */
+/** A provisioning request with the unique name under which the cloud carries it out only once. */
 internal class NamedRequest(
     val name: String,
     val request: ProvisioningRequest,
-    /** When it was first sent. */
-    val since: Duration,
+    val firstSentAt: Duration,
 )
 
 /**
- * Requests of one term that may have been carried out or not, each until the cloud says which. One that stays without
- * an answer is sent again ever more seldom, so that it does not keep others from being sent. Pure.
+ * The requests of one term whose outcome is unknown, each kept until the cloud reports its outcome. A request that
+ * remains without an answer is sent again at growing intervals, so that it does not keep other requests from being
+ * sent. Performs no I/O; time is an input.
  */
 internal class UnresolvedRequests {
     private class Attempts(
@@ -25,36 +25,38 @@
 
     val size: Int get() = requests.size
 
-    /** When the oldest was first sent; null where there is none. */
-    val oldestSince: Duration? get() = requests.keys.minOfOrNull { it.since }
+    /** When the oldest request was first sent; null if there is none. */
+    val oldestSentAt: Duration? get() = requests.keys.minOfOrNull { it.firstSentAt }
 
-    /** Those that are to be sent again by now, the oldest first. */
-    fun due(now: Duration): List<NamedRequest> = requests.filterValues { it.nextAt <= now }.keys.toList()
+    /** Returns the requests that are due to be sent again, the oldest first. */
+    fun dueRequests(now: Duration): List<NamedRequest> = requests.filterValues { it.nextAt <= now }.keys.toList()
 
-    /** Before each attempt: until it is resolved, the request is known as perhaps carried out. */
-    fun attempt(
+    /** Notes that [request] is about to be sent. Until it is resolved, it counts as possibly carried out. */
+    fun startAttempt(
         request: NamedRequest,
         now: Duration,
     ) {
-        val before = requests[request]?.count ?: 0
-        val wait = if (before == 0) Duration.ZERO else FIRST_RETRY * (1 shl (before - 1).coerceAtMost(MAX_DOUBLINGS))
-        requests[request] = Attempts(before + 1, now + wait)
+        val attempts = requests[request]?.count ?: 0
+        val wait =
+            if (attempts == 0) Duration.ZERO else FIRST_RETRY * (1 shl (attempts - 1).coerceAtMost(MAX_DOUBLINGS))
+        requests[request] = Attempts(attempts + 1, now + wait)
     }
 
-    /** Whether the request was sent more than once, so that an earlier attempt may have been carried out. */
+    /** Whether the request was sent more than once, in which case an earlier attempt may have been carried out. */
     fun wasRepeated(request: NamedRequest): Boolean = (requests[request]?.count ?: 0) > 1
 
-    /** The cloud has said what became of the request. */
+    /** Removes a request whose outcome is known. */
     fun resolve(request: NamedRequest) {
         requests.remove(request)
     }
 
     /**
-     * The machines that these requests may have provisioned and that do not show otherwise yet. After a while they no
-     * longer count: had they been provisioned, the cloud's list would show them.
+     * Returns the machines that these requests may have provisioned and that are not visible otherwise yet. Requests
+     * that are older than [EXPECTED_FOR] do not count: if they had been carried out, the cloud's list would show the
+     * machines.
      */
-    fun expected(now: Duration): List<ProvisioningRequest> {
-        val recent = requests.keys.filter { now - it.since < EXPECTED_FOR }
+    fun expectedMachines(now: Duration): List<ProvisioningRequest> {
+        val recent = requests.keys.filter { now - it.firstSentAt < EXPECTED_FOR }
         return recent.map { it.request }
     }
 
@@ -62,7 +64,7 @@
         val FIRST_RETRY = 5.seconds
         const val MAX_DOUBLINGS = 4
 
-        /** A first attempt and its time-out, and a second one. */
+        /** Long enough for a first attempt with its time-out, and for a second attempt. */
         val EXPECTED_FOR = 15.seconds
     }
 }
--- a/src/main/kotlin/umberslip/provisioning/UnresponsiveMachines.kt
+++ b/src/main/kotlin/umberslip/provisioning/UnresponsiveMachines.kt
@@ -7,10 +7,11 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Finds machines without contact for most of a lease while most others of their zone are in contact: they were
- * reclaimed, died or hang. Terminating them makes certain at once that their tasks are stopped, rather than when every
- * lease has expired, which after a failover is much later. A zone that is partitioned off as a whole may go on working,
- * so its machines are left alone until their leases have expired. Pure.
+ * Finds machines that have had no contact for most of a lease while most other machines of their zone are in contact.
+ * Such machines were reclaimed, have crashed or hang. Terminating them ensures immediately that their tasks are
+ * stopped. Otherwise this is certain only after every lease has expired, which is much later after a failover. The
+ * workers of a zone that is partitioned as a whole may go on working, so its machines are not reported before their
+ * leases have expired. Pure.
  */
 internal class UnresponsiveMachines(
     private val workers: WorkerSettings,
@@ -18,20 +19,23 @@
     private val timeout = workers.lease * LEASE_SHARE
     private val inContactWithin = workers.heartbeatInterval * HEARTBEATS_MISSED
 
-    /** The unresponsive ones of all [machines] that the leader knows. */
-    fun of(machines: List<MachineSnapshot>): List<MachineName> {
+    /** Returns the unresponsive machines among [machines], which are all machines that the leader knows. */
+    fun find(machines: List<MachineSnapshot>): List<MachineName> {
         val zones = machines.groupBy { it.offer.zone }.mapValues { (_, inZone) -> Zone(inZone) }
-        val mostInContact = mostInContact(machines)
+        val areMostInContact = areMostInContact(machines)
         return machines
             .filter { it.sinceAnyContact > timeout }
             .filter { machine ->
                 val zone = zones.getValue(machine.offer.zone)
-                isEmptied(machine, zone) || isLostWithTasks(machine, zone, mostInContact)
+                isExpired(machine, zone) || isLostWithTasks(machine, zone, areMostInContact)
             }.map { it.name }
     }
 
-    /** Whether the tasks are certainly stopped. In a partitioned zone such machines come back, empty, when it heals. */
-    private fun isEmptied(
+    /**
+     * Whether the lease of a machine has expired, so that its tasks are certainly stopped. Machines of a partitioned
+     * zone return without tasks when the partition heals, so they count only after [PARTITION_TIMEOUT].
+     */
+    private fun isExpired(
         machine: MachineSnapshot,
         zone: Zone,
     ): Boolean =
@@ -39,14 +43,18 @@
             machine.sinceContact != null &&
             (!zone.isPartitioned || machine.sinceAnyContact > PARTITION_TIMEOUT)
 
-    /** A machine that only the records name has no zone here; then most of all machines must be in contact. */
+    /**
+     * Whether a machine that is out of contact has tasks, while most of all machines and most of its zone are in
+     * contact. A machine that is known only from the records has no zone, so only most of all machines must be in
+     * contact.
+     */
     private fun isLostWithTasks(
         machine: MachineSnapshot,
         zone: Zone,
-        mostInContact: Boolean,
-    ): Boolean = machine.tasks > 0 && mostInContact && (machine.offer.zone.isEmpty() || zone.mostInContact)
+        areMostInContact: Boolean,
+    ): Boolean = machine.tasks > 0 && areMostInContact && (machine.offer.zone.isEmpty() || zone.areMostInContact)
 
-    private fun mostInContact(machines: List<MachineSnapshot>): Boolean {
+    private fun areMostInContact(machines: List<MachineSnapshot>): Boolean {
         val inContact = machines.count { it.sinceAnyContact < inContactWithin }
         return inContact * 2 > machines.size
     }
@@ -54,18 +62,18 @@
     private inner class Zone(
         machines: List<MachineSnapshot>,
     ) {
-        val mostInContact = mostInContact(machines)
+        val areMostInContact = areMostInContact(machines)
         val isPartitioned = machines.all { it.sinceAnyContact > workers.lease }
     }
 
     companion object {
-        /** For this long a zone without any contact counts as partitioned off rather than lost. */
+        /** How long a zone without any contact counts as partitioned rather than lost. */
         val PARTITION_TIMEOUT: Duration = 120.seconds
 
-        /** The part of a lease without contact after which a machine is unresponsive. */
+        /** A machine without contact for this share of a lease is unresponsive. */
         private const val LEASE_SHARE = 0.8
 
-        /** Heartbeats get lost or come late; one that misses no more of them is in contact. */
+        /** Heartbeats get lost or arrive late; a machine that has missed no more than this many is in contact. */
         private const val HEARTBEATS_MISSED = 3
     }
 }
--- a/src/test/kotlin/umberslip/provisioning/CapacityPlannerTest.kt
+++ b/src/test/kotlin/umberslip/provisioning/CapacityPlannerTest.kt
@@ -20,7 +20,7 @@
 class CapacityPlannerTest {
     private val instanceTypes = ClusterSize.SMALL.associateBy { it.label }
     private val planner = CapacityPlanner(Tuning())
-    private val any = PlacementConstraint(null, null, true)
+    private val anyMachine = PlacementConstraint(null, null, true)
 
     private fun machine(
         name: String,
@@ -52,12 +52,12 @@
 
     private fun work(
         tasks: Int,
-        where: PlacementConstraint = any,
+        where: PlacementConstraint = anyMachine,
         slack: Duration = 0.seconds,
     ) = PendingWork(where, Resources(2.0, 0.0, 2.0), tasks, 60.0, slack)
 
     @Test
-    fun `nothing is provisioned while nothing waits or the existing machines suffice`() {
+    fun `nothing is provisioned while no work waits or the existing machines suffice`() {
         assertTrue(plan(emptyList(), emptyList()).requests.isEmpty())
         assertTrue(
             plan(listOf(machine("a", Offer("large", "east", true))), listOf(work(6))).requests.isEmpty(),
@@ -83,7 +83,7 @@
     }
 
     @Test
-    fun `one small task is worth a machine when there is none for it`() {
+    fun `a single small task gets a machine if no existing machine may run it`() {
         // Found by the rules test: work too small to fill a machine never got one.
         val tiny = PendingWork(PlacementConstraint(listOf("small"), null, false), Resources(0.5, 0.0, 0.5), 1, 2.0)
         assertEquals(1, plan(listOf(machine("a", Offer("large", "east", true))), listOf(tiny)).requests.single().number)
@@ -100,17 +100,17 @@
     }
 
     @Test
-    fun `work that can wait is not worth an expensive machine`() {
+    fun `work with slack gets fewer expensive machines`() {
         val noSpot = { offer: Offer -> offer.spot }
-        // Spot offers are backed off, so only ordinary ones are left; work with slack gets fewer of them.
-        val now = plan(emptyList(), listOf(work(40)), noSpot).requests.sumOf { it.number }
-        val patient =
+        // Spot offers are backed off, so only ordinary machines can be requested.
+        val withoutSlack = plan(emptyList(), listOf(work(40)), noSpot).requests.sumOf { it.number }
+        val withSlack =
             plan(
                 listOf(machine("a", Offer("large", "east", true))),
                 listOf(work(40, slack = 1000.seconds)),
                 noSpot,
             ).requests.sumOf { it.number }
-        assertTrue(patient < now, "$patient of $now")
+        assertTrue(withSlack < withoutSlack, "$withSlack of $withoutSlack")
     }
 
     private fun daemon(cpus: Double) = RunningTask(Resources(cpus, 0.0, 1.0), RunningTask.ENDLESS_SECONDS)
@@ -120,21 +120,21 @@
         waiting: Int = tasks,
         oneZone: Boolean = false,
         cpus: Double = 1.0,
-    ) = PendingWork(any, Resources(cpus, 0.0, 1.0), waiting, 9.0, atOnce = tasks, oneZone = oneZone)
+    ) = PendingWork(anyMachine, Resources(cpus, 0.0, 1.0), waiting, 9.0, atOnce = tasks, oneZone = oneZone)
 
     @Test
-    fun `a gang waits for ever beside a daemon since capacity over time looks enough`() {
-        // Three tasks of one processor, of which two hold the places that the daemon leaves.
-        val held = List(2) { RunningTask(Resources(1.0, 0.0, 1.0), 9.0) }
-        val machine = machine("a", Offer("small", "east", true), listOf(daemon(2.0)) + held)
+    fun `a gang beside a daemon gets a machine although capacity over time looks sufficient`() {
+        // The gang has three tasks of one processor; two of them hold the places that the daemon leaves.
+        val runningTasks = List(2) { RunningTask(Resources(1.0, 0.0, 1.0), 9.0) }
+        val machine = machine("a", Offer("small", "east", true), listOf(daemon(2.0)) + runningTasks)
         assertEquals(1, plan(listOf(machine), listOf(gang(tasks = 3, waiting = 1))).requests.sumOf { it.number })
-        // Tasks that end free their places: without the daemon nothing is missing.
-        val others = machine("a", Offer("small", "east", true), held + held)
-        assertEquals(emptyList<ProvisioningRequest>(), plan(listOf(others), listOf(gang(3))).requests)
+        // Tasks that end free their places, so without the daemon no place is missing.
+        val withoutDaemon = machine("a", Offer("small", "east", true), runningTasks + runningTasks)
+        assertEquals(emptyList<ProvisioningRequest>(), plan(listOf(withoutDaemon), listOf(gang(3))).requests)
     }
 
     @Test
-    fun `a task waits for ever since the only machines that are large enough have daemons`() {
+    fun `a task gets a machine if daemons occupy the only machines that are large enough`() {
         val machine = machine("a", Offer("small", "east", true), listOf(daemon(2.0)))
         val onlySmall = PlacementConstraint(listOf("small"), null, true)
         val waiting = PendingWork(onlySmall, Resources(3.0, 0.0, 1.0), 1, 5.0)
@@ -142,7 +142,7 @@
     }
 
     @Test
-    fun `the places of a gang are provisioned in one zone where it must be in one`() {
+    fun `the places of a gang that must be in one zone are provisioned in one zone`() {
         val east = machine("a", Offer("large", "east", true))
         val west = machine("b", Offer("large", "west", true))
         val tasks = 3
@@ -154,14 +154,14 @@
     }
 
     @Test
-    fun `machines that hold a gang's places are not surplus`() {
+    fun `machines with planned places for a gang are not surplus`() {
         val first = machine("a", Offer("small", "east", true), listOf(daemon(2.0)))
         val second = machine("b", Offer("small", "east", true))
         assertEquals(emptySet<MachineName>(), plan(listOf(first, second), listOf(gang(3))).surplus)
     }
 
     @Test
-    fun `all tasks of a gang find a place at the same time in what a plan provisions`() {
+    fun `existing and requested machines have places for all tasks of a gang at the same time`() {
         val random = Random(5)
         repeat(500) {
             val machines =
@@ -171,10 +171,10 @@
                 }
             val gang = gang(random.nextInt(2, 40), oneZone = random.nextBoolean(), cpus = random.nextInt(1, 16) + 0.5)
             val plan = plan(machines, listOf(gang))
-            val left = machines.map { it.offer to leftByEndless(it) }
-            val added = plan.requests.flatMap { (offer, number) -> List(number) { offer to capacity(offer) } }
+            val existing = machines.map { it.offer to resourcesBesideEndless(it) }
+            val requested = plan.requests.flatMap { (offer, number) -> List(number) { offer to capacity(offer) } }
             val places =
-                (left + added)
+                (existing + requested)
                     .groupBy({ (offer, _) -> offer.zone }) { (_, resources) -> places(resources, gang.resources) }
                     .map { (_, inZone) -> inZone.sum() }
             assertTrue((if (gang.oneZone) places.max() else places.sum()) >= gang.atOnce, "$gang in $places")
@@ -188,7 +188,7 @@
 
     private fun capacity(offer: Offer): Resources = instanceTypes.getValue(offer.type).resources
 
-    private fun leftByEndless(machine: MachineSnapshot): Resources {
+    private fun resourcesBesideEndless(machine: MachineSnapshot): Resources {
         val capacity = capacity(machine.offer)
         return machine.running.fold(capacity) { left, task -> left - task.resources }
     }
--- a/src/test/kotlin/umberslip/provisioning/ProvisioningRequestsTest.kt
+++ b/src/test/kotlin/umberslip/provisioning/ProvisioningRequestsTest.kt
@@ -35,12 +35,12 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Provisioning requests across a re-election within one call to the cloud.
+ * Guards against two failures after a re-election during a call to the cloud.
  *
- * A new term clears the queue of unresolved requests. A call that was under way then took its request from the queue
- * once more, found it empty, and the provisioner's loop ended with `NoSuchElementException: ArrayDeque is empty`:
- * nothing was provisioned any more. Where the loop went on, it numbered the rest of the former term's plan from one
- * again, so that names of requests were used twice.
+ * A new term clears the queue of unresolved requests. A call in progress then removed its request from the queue
+ * although the queue was empty, and the provisioner's loop ended with `NoSuchElementException: ArrayDeque is empty`, so
+ * that nothing was provisioned any more. If the loop continued, it numbered the rest of the former term's plan from one
+ * again, so that request names were used twice.
  */
 @OptIn(ExperimentalCoroutinesApi::class)
 class ProvisioningRequestsTest {
@@ -68,9 +68,9 @@
     private var term = 0L
 
     @Test
-    fun `a new term while a request is sent ends the former term's plan`() {
+    fun `a new term during a request ends the former term's plan`() {
         elect()
-        val sending = started { requests.send(plan, term) }
+        val sending = launchUntilBlocked { requests.send(plan, term) }
         elect()
         cloud.respond()
         assertEnded(sending)
@@ -80,38 +80,38 @@
     @Test
     fun `a new term while an unresolved request is sent again leaves nothing to resolve`() {
         elect()
-        val failing = started { requests.send(plan, term) }
+        val failing = launchUntilBlocked { requests.send(plan, term) }
         cloud.fail()
         scheduler.runCurrent()
         assertTrue(failing.isCompleted)
-        val resolving = started { requests.resolve() }
+        val resolving = launchUntilBlocked { requests.resendUnresolved() }
         elect()
         cloud.respond()
         assertEnded(resolving)
-        assertEnded(started { requests.resolve() })
+        assertEnded(launchUntilBlocked { requests.resendUnresolved() })
         assertEquals(2, cloud.names.size, "one request, sent twice: ${cloud.names}")
     }
 
     @Test
-    fun `no request has the name of another, whenever terms change and calls fail`() {
-        for (seed in 1..200) GeneratedHistory(seed).play()
+    fun `request names are unique whenever terms change and calls fail`() {
+        for (seed in 1..200) GeneratedHistory(seed).run()
     }
 
-    /** Calls, terms and rounds in any order; one round at a time, as in the provisioner's loop. */
+    /** Runs calls, terms and rounds in a random order, but one round at a time, as the provisioner's loop does. */
     private inner class GeneratedHistory(
         seed: Int,
     ) {
         private val random = Random(seed)
         private var round: Job? = null
 
-        fun play() {
+        fun run() {
             elect()
             repeat(60) {
                 when (random.nextInt(4)) {
                     0 -> elect()
                     1 -> cloud.respond()
                     2 -> cloud.fail()
-                    else -> if (round?.isActive != true) round = started { newRound() }
+                    else -> if (round?.isActive != true) round = launchUntilBlocked { newRound() }
                 }
                 scheduler.runCurrent()
                 assertEquals(null, failure, "the round failed")
@@ -124,22 +124,24 @@
         }
 
         private suspend fun newRound() {
-            val roundsTerm = term
-            requests.resolve()
-            if (term == roundsTerm) requests.send(plan, roundsTerm)
+            val termOfRound = term
+            requests.resendUnresolved()
+            if (term == termOfRound) requests.send(plan, termOfRound)
         }
     }
 
     private var failure: Throwable? = null
 
-    /** Runs until it waits for the cloud; that a call failed is no failure of its own. */
-    private fun started(block: suspend () -> Unit): Job {
+    /**
+     * Runs [block] until it waits for the cloud. A failed call to the cloud does not count as a failure of the block.
+     */
+    private fun launchUntilBlocked(block: suspend () -> Unit): Job {
         val job =
             scope.launch {
                 try {
                     block()
                 } catch (_: NoResponseException) {
-                    // As in the provisioner's loop: the next round sends it again.
+                    // As in the provisioner's loop, the next round sends the request again.
                 } catch (e: NoSuchElementException) {
                     failure = e
                 }
@@ -162,11 +164,11 @@
     }
 }
 
-/** A cloud whose calls wait until the test lets them end. */
+/** A cloud whose calls wait until the test completes them. */
 private class PausingCloud : Cloud {
-    /** Of all requests, in order; one that is sent again is there again. */
+    /** The names of all requests in the order of sending; a request that is sent again appears again. */
     val names = ArrayList<String>()
-    private val offers = HashMap<String, HashSet<Pair<Int, Offer>>>()
+    private val requestsByName = HashMap<String, HashSet<Pair<Int, Offer>>>()
     private val resolved = HashSet<String>()
     private var pending: CompletableDeferred<List<MachineName>>? = null
 
@@ -186,14 +188,14 @@
         names += name
         val answer = CompletableDeferred<List<MachineName>>()
         pending = answer
-        offers.getOrPut(name) { HashSet() } += number to offer
+        requestsByName.getOrPut(name) { HashSet() } += number to offer
         val machines = answer.await()
         check(resolved.add(name)) { "the request $name was sent again after its response" }
         return machines
     }
 
     fun assertNamesUsedOnce() {
-        for ((name, ofName) in offers) assertEquals(1, ofName.size, "$name stands for $ofName")
+        for ((name, requests) in requestsByName) assertEquals(1, requests.size, "$name was used for $requests")
     }
 
     override suspend fun instanceTypes(): List<InstanceType> = emptyList()
