--- a/src/main/kotlin/umberslip/api/SubmissionWriter.kt
+++ b/src/main/kotlin/umberslip/api/SubmissionWriter.kt
@@ -46,7 +46,7 @@
                     return
                 }
                 is TransactionResult.Rejected -> {
-                    rejected(remaining, result.why)
+                    rejected(remaining, result.reason)
                     return
                 }
                 is TransactionResult.PreconditionFailed -> {
@@ -89,7 +89,7 @@
                 writes = submissions.map { Write.Put(Keys.job(it.id), it.record.toMap()) },
             )
         } catch (e: RateLimitedException) {
-            writes.lower()
+            writes.lowerRate()
             notWritten(submissions, e)
             null
         } catch (e: ServiceUnavailableException) {
--- a/src/main/kotlin/umberslip/daemon/FollowerRenewalPublisher.kt
+++ b/src/main/kotlin/umberslip/daemon/FollowerRenewalPublisher.kt
@@ -29,7 +29,7 @@
     private val renewal: FollowerLeaseRenewal,
 ) {
     private val log = LoggerFactory.getLogger("umberslip.daemon")
-    private val key = Keys.renewedByFollower(settings.member)
+    private val key = Keys.followerRenewals(settings.member)
 
     /** The version of the record that was written last; null where it has to be read first. */
     private var version: Version? = null
--- a/src/main/kotlin/umberslip/records/DependencyState.kt
+++ b/src/main/kotlin/umberslip/records/DependencyState.kt
@@ -12,7 +12,7 @@
     data object Cancelled : DependencyState
 
     /** No dependency is cancelled; some may be unfinished. */
-    data object Open : DependencyState
+    data object NotCancelled : DependencyState
 
     /** Unknown before the outcomes of these jobs have been read. */
     data class Unread(
@@ -44,7 +44,7 @@
                     }
                 }
             }
-            return if (unread.isEmpty()) Open else Unread(unread)
+            return if (unread.isEmpty()) NotCancelled else Unread(unread)
         }
     }
 }
--- a/src/main/kotlin/umberslip/records/Keys.kt
+++ b/src/main/kotlin/umberslip/records/Keys.kt
@@ -43,22 +43,22 @@
     fun log(slot: Int): String = LOG + slot
 
     /** The key of the [MachineSetRecord] of machines whose leases the follower [member] renewed. */
-    fun renewedByFollower(member: String): String = FOLLOWER_RENEWALS + member
+    fun followerRenewals(member: String): String = FOLLOWER_RENEWALS + member
 
     /** The key of an [OutcomeRecord]. */
     fun outcome(id: JobId): String = OUTCOME + id.value
 
-    /** Whether [key] is one of [renewedByFollower]. */
+    /** Whether [key] is one of [followerRenewals]. */
     fun isFollowerRenewals(key: String): Boolean = key.startsWith(FOLLOWER_RENEWALS)
 
     /** The slot whose log entry lies at [key]; null for other keys. */
-    fun asLog(key: String): Int? = if (key.startsWith(LOG)) key.substring(LOG.length).toIntOrNull() else null
+    fun parseLogSlot(key: String): Int? = if (key.startsWith(LOG)) key.substring(LOG.length).toIntOrNull() else null
 
     /** The job whose record lies at [key]; null for other keys. */
-    fun asJob(key: String): JobId? = if (key.startsWith(JOB)) JobId.parse(key.substring(JOB.length)) else null
+    fun parseJobId(key: String): JobId? = if (key.startsWith(JOB)) JobId.parse(key.substring(JOB.length)) else null
 
     /** The progress block whose record lies at [key]; null for other keys. */
-    fun asProgress(key: String): ProgressKey? {
+    fun parseProgressKey(key: String): ProgressKey? {
         if (!key.startsWith(PROGRESS)) return null
         // Such keys have the form of task ids, with the number of a block in place of a task's.
         val blockId = TaskId.parse(key.substring(PROGRESS.length)) ?: return null
--- a/src/main/kotlin/umberslip/records/LogRecord.kt
+++ b/src/main/kotlin/umberslip/records/LogRecord.kt
@@ -16,7 +16,7 @@
 /** What a log entry records of one job. */
 data class LogRow(
     val starts: List<Placement>,
-    val ends: List<LoggedExit>,
+    val exits: List<LoggedExit>,
 )
 
 /**
@@ -37,8 +37,8 @@
                     listOf(
                         job.value,
                         row.starts.flatMap { listOf(it.index, it.attempt, it.machineName.value) },
-                        row.ends.filter { it.done }.flatMap { listOf(it.index, it.attempt) },
-                        row.ends.filter { !it.done }.flatMap { listOf(it.index, it.attempt) },
+                        row.exits.filter { it.done }.flatMap { listOf(it.index, it.attempt) },
+                        row.exits.filter { !it.done }.flatMap { listOf(it.index, it.attempt) },
                     )
                 },
         )
--- a/src/main/kotlin/umberslip/records/OutcomeRecord.kt
+++ b/src/main/kotlin/umberslip/records/OutcomeRecord.kt
@@ -11,11 +11,11 @@
 
 /** How a job with that many [tasks] finished; never changed once written. */
 data class OutcomeRecord(
-    val end: JobOutcome,
+    val outcome: JobOutcome,
     val tasks: Int,
 ) {
     /** The record as it is stored. */
-    fun toMap(): Map<String, Any?> = mapOf(OUTCOME to OUTCOME_NAMES.getValue(end), TASKS to tasks)
+    fun toMap(): Map<String, Any?> = mapOf(OUTCOME to OUTCOME_NAMES.getValue(outcome), TASKS to tasks)
 
     companion object {
         private const val OUTCOME = "status"
--- a/src/main/kotlin/umberslip/records/RecordPages.kt
+++ b/src/main/kotlin/umberslip/records/RecordPages.kt
@@ -17,7 +17,7 @@
             val first = store.list(Keys.ROOT, null)
             val entries = ArrayList(first.entries)
             var page = first
-            while (page.more && page.entries.isNotEmpty()) {
+            while (page.hasMore && page.entries.isNotEmpty()) {
                 page = store.list(Keys.ROOT, entries.last().key)
                 entries += page.entries
             }
--- a/src/main/kotlin/umberslip/records/RecordReplica.kt
+++ b/src/main/kotlin/umberslip/records/RecordReplica.kt
@@ -50,7 +50,7 @@
         // Replayed in order, since a later entry may repeat what an earlier one says.
         for (row in rowsAfter(storedSeq, id)) {
             for (start in row.starts) placed.set(start.index)
-            for (end in row.ends) {
+            for (end in row.exits) {
                 placed.clear(end.index)
                 if (end.done) loggedDone.set(end.index)
             }
@@ -110,9 +110,9 @@
         }
 
     private fun putParsed(entry: Entry): RecordEvent? {
-        val job = Keys.asJob(entry.key)
-        val block = if (job == null) Keys.asProgress(entry.key) else null
-        val slot = Keys.asLog(entry.key)
+        val job = Keys.parseJobId(entry.key)
+        val block = if (job == null) Keys.parseProgressKey(entry.key) else null
+        val slot = Keys.parseLogSlot(entry.key)
         when {
             job != null -> return putJob(job, entry)
             block != null -> putProgress(block, entry)
@@ -190,8 +190,8 @@
         version: Version,
     ): RecordEvent? {
         malformed.remove(key)
-        val job = Keys.asJob(key)
-        val block = if (job == null) Keys.asProgress(key) else null
+        val job = Keys.parseJobId(key)
+        val block = if (job == null) Keys.parseProgressKey(key) else null
         return when {
             job != null -> removeJob(job, version)
             block != null -> {
--- a/src/main/kotlin/umberslip/scheduling/BatchWriter.kt
+++ b/src/main/kotlin/umberslip/scheduling/BatchWriter.kt
@@ -48,7 +48,7 @@
     ) {
         if (isWriting || !leaderLease.mayStart(now)) return
         // Batches that wait for the rate hold more.
-        val wait = maxOf(writes.wait(MIN_WRITES), lastBatchAt + minBatchInterval - now)
+        val wait = maxOf(writes.timeUntilAvailable(MIN_WRITES), lastBatchAt + minBatchInterval - now)
         if (wait > Duration.ZERO) {
             flushAfter(wait)
             return
@@ -99,7 +99,7 @@
             if (result is TransactionResult.PreconditionFailed) preconditionFailed(scheduler, result.failed)
             result
         } catch (e: RateLimitedException) {
-            writes.lower()
+            writes.lowerRate()
             notCarriedOut(e)
         } catch (e: ServiceUnavailableException) {
             notCarriedOut(e)
--- a/src/main/kotlin/umberslip/scheduling/DependencyLookups.kt
+++ b/src/main/kotlin/umberslip/scheduling/DependencyLookups.kt
@@ -52,7 +52,7 @@
 
     private suspend fun read(id: JobId): JobOutcome? =
         try {
-            store.get(Keys.outcome(id))?.parseRecord(OutcomeRecord::parse)?.end
+            store.get(Keys.outcome(id))?.parseRecord(OutcomeRecord::parse)?.outcome
         } catch (_: ServiceException) {
             // Asked for again after a while, as one that does not exist yet.
             null
--- a/src/main/kotlin/umberslip/scheduling/Leader.kt
+++ b/src/main/kotlin/umberslip/scheduling/Leader.kt
@@ -227,7 +227,7 @@
                 }
             }
             is TransactionResult.Rejected -> {
-                log.error("batch rejected for its size or form: writes={} reason={}", batch.writes.size, result.why)
+                log.error("batch rejected for its size or form: writes={} reason={}", batch.writes.size, result.reason)
                 scheduler.writeAheadLog.rejected(batch)
             }
             TransactionResult.LeaseExpired, null -> scheduler.writeAheadLog.notApplied(batch)
--- a/src/main/kotlin/umberslip/scheduling/RecordLoader.kt
+++ b/src/main/kotlin/umberslip/scheduling/RecordLoader.kt
@@ -43,7 +43,7 @@
     /** What malformed records hold is unknown: nothing rests on them, and nothing is written in their place. */
     private fun leaveAlone(unreadable: Set<String>) {
         for (key in unreadable) {
-            val job = Keys.asJob(key) ?: Keys.asProgress(key)?.job
+            val job = Keys.parseJobId(key) ?: Keys.parseProgressKey(key)?.job
             jobs[job]?.isUnreadable = true
             writeAheadLog.leaveAlone(key)
         }
@@ -88,7 +88,7 @@
             // A progress record that was written after this entry contains it.
             fun containsEntry(block: ProgressBlock) = (stored?.get(block.number)?.value?.seq ?: 0L) >= entry.value.seq
             val starts = row.starts.filter { it.index < job.spec.tasks }
-            val ends = row.ends.filter { it.index < job.spec.tasks }
+            val ends = row.exits.filter { it.index < job.spec.tasks }
             for (start in starts) {
                 val block = job.block(start.index)
                 if (containsEntry(block)) continue
--- a/src/main/kotlin/umberslip/scheduling/RecordResolution.kt
+++ b/src/main/kotlin/umberslip/scheduling/RecordResolution.kt
@@ -33,14 +33,14 @@
             if (version == null) absent(key) else present(key, version, data)
         } catch (e: MalformedMessageException) {
             log.error("malformed record left alone: key={} reason={}", key, e.message)
-            val job = Keys.asJob(key) ?: Keys.asProgress(key)?.job
+            val job = Keys.parseJobId(key) ?: Keys.parseProgressKey(key)?.job
             jobs[job]?.let(::suspendUnreadable)
             writeAheadLog.leaveAlone(key)
         }
     }
 
     private fun absent(key: String) {
-        val job = Keys.asJob(key)
+        val job = Keys.parseJobId(key)
         val block = progressBlock(key)
         when {
             block != null -> block.version = Version.NONE
@@ -54,22 +54,22 @@
         version: Version,
         data: Any?,
     ) {
-        val job = Keys.asJob(key)
+        val job = Keys.parseJobId(key)
         when {
             job != null -> jobPresent(job, version, data)
-            Keys.asProgress(key) != null -> {
+            Keys.parseProgressKey(key) != null -> {
                 if (data != null) ProgressRecord.parse(data)
                 progressBlock(key)?.version = version
             }
             else -> {
-                if (Keys.asLog(key) != null && data != null) LogRecord.parse(data)
+                if (Keys.parseLogSlot(key) != null && data != null) LogRecord.parse(data)
                 writeAheadLog.resolve(key, version)
             }
         }
     }
 
     private fun progressBlock(key: String): ProgressBlock? {
-        val progressKey = Keys.asProgress(key) ?: return null
+        val progressKey = Keys.parseProgressKey(key) ?: return null
         return jobs[progressKey.job]?.blockNumber(progressKey.block)
     }
 
--- a/src/main/kotlin/umberslip/scheduling/SchedulerState.kt
+++ b/src/main/kotlin/umberslip/scheduling/SchedulerState.kt
@@ -87,7 +87,7 @@
         for ((id, job) in records.jobs()) jobChanged(id, job, now)
         RecordLoader(jobs, machines, assignments, writeAheadLog, now, formerLeaseExpiry).load(records)
         for (job in jobs.values) assignments.refresh(job)
-        if (records.unreadable.any { Keys.asLog(it) != null }) noDispatchBefore = formerLeaseExpiry
+        if (records.unreadable.any { Keys.parseLogSlot(it) != null }) noDispatchBefore = formerLeaseExpiry
         val recordedTasks = machines.mapValues { it.value.assignments.size }.filterValues { it > 0 }
         reconciliationObserver?.recordsLoaded(recordedTasks, now)
     }
--- a/src/main/kotlin/umberslip/scheduling/WriteAheadLog.kt
+++ b/src/main/kotlin/umberslip/scheduling/WriteAheadLog.kt
@@ -193,13 +193,13 @@
         if (key == Keys.REVOKED_RENEWALS) {
             revokedRenewals.resolve(resolved)
         } else {
-            Keys.asLog(key)?.let { slots[it] }?.version = resolved
+            Keys.parseLogSlot(key)?.let { slots[it] }?.version = resolved
         }
     }
 
     /** The record at [key] is malformed: a slot of the log with that key is not written any more. */
     fun leaveAlone(key: String) {
-        Keys.asLog(key)?.let { slots[it] }?.isUnreadable = true
+        Keys.parseLogSlot(key)?.let { slots[it] }?.isUnreadable = true
     }
 
     companion object {
--- a/src/main/kotlin/umberslip/store/HttpKeyValueStore.kt
+++ b/src/main/kotlin/umberslip/store/HttpKeyValueStore.kt
@@ -21,7 +21,7 @@
         return fetch(key)
     }
 
-    override suspend fun lookUp(key: String): Entry? {
+    override suspend fun getLowPriority(key: String): Entry? {
         if (!requests.takeSpare(1, LOOK_UP_PATIENCE)) {
             throw ServiceUnavailableException("no request to the key-value store to spare for a look-up")
         }
@@ -51,7 +51,7 @@
     private fun page(fields: Fields) =
         Page(
             entries = fields.maps(KeyValueStoreProtocol.ENTRIES).map(KeyValueStoreProtocol::entry),
-            more = fields.flag(KeyValueStoreProtocol.HAS_MORE),
+            hasMore = fields.flag(KeyValueStoreProtocol.HAS_MORE),
             revision = fields.long(KeyValueStoreProtocol.REVISION),
         )
 
@@ -155,7 +155,7 @@
     private fun refused(reply: Reply): Nothing {
         val what = "key-value store responded ${reply.status} ${reply.body}"
         if (reply.status != 429) throw ServiceUnavailableException(what)
-        requests.lower()
+        requests.lowerRate()
         throw RateLimitedException(what)
     }
 
--- a/src/main/kotlin/umberslip/store/KeyValueStore.kt
+++ b/src/main/kotlin/umberslip/store/KeyValueStore.kt
@@ -15,7 +15,7 @@
      * refused at once with [umberslip.http.ServiceUnavailableException], so that users' requests never delay reads of
      * the records, leases or writes.
      */
-    suspend fun lookUp(key: String): Entry?
+    suspend fun getLowPriority(key: String): Entry?
 
     /** The first page of the keys that start with [prefix] and come after the key [after], where given. */
     suspend fun list(
--- a/src/main/kotlin/umberslip/store/RateLimiter.kt
+++ b/src/main/kotlin/umberslip/store/RateLimiter.kt
@@ -14,7 +14,7 @@
     /** Tokens per second. */
     private var rate: Double,
     private val clock: Clock,
-    /** The rate from [lower] on. */
+    /** The rate from [lowerRate] on. */
     private val lowered: Double = rate,
 ) {
     private var tokens = rate
@@ -62,7 +62,7 @@
     }
 
     /** Changes to the lowered rate for good: a service that began to enforce it does not return to the former one. */
-    fun lower() {
+    fun lowerRate() {
         if (lowered >= rate) return
         refill()
         rate = lowered
@@ -70,7 +70,7 @@
     }
 
     /** How long until [amount] could be taken without waiting. */
-    fun wait(amount: Int): Duration {
+    fun timeUntilAvailable(amount: Int): Duration {
         refill()
         return if (tokens >= amount) Duration.ZERO else ((amount - tokens) / rate).seconds
     }
--- a/src/main/kotlin/umberslip/store/StoreModel.kt
+++ b/src/main/kotlin/umberslip/store/StoreModel.kt
@@ -45,7 +45,7 @@
 class Page(
     val entries: List<Entry>,
     /** Whether there are entries after these. */
-    val more: Boolean,
+    val hasMore: Boolean,
     /** The revision at which the page was read. */
     val revision: Long,
 )
@@ -95,6 +95,6 @@
 
     /** The transaction exceeds a size limit or is malformed: sent again, it would be rejected again. */
     data class Rejected(
-        val why: String,
+        val reason: String,
     ) : TransactionResult
 }
--- a/src/test/kotlin/umberslip/compatibility/FormatCompatibilityTest.kt
+++ b/src/test/kotlin/umberslip/compatibility/FormatCompatibilityTest.kt
@@ -82,7 +82,7 @@
                     gang.id to
                         LogRow(
                             starts = listOf(Placement(4, 3, MachineName("host-000233"))),
-                            ends = listOf(LoggedExit(3, 2, true), LoggedExit(5, 1, false)),
+                            exits = listOf(LoggedExit(3, 2, true), LoggedExit(5, 1, false)),
                         ),
                 ),
         )
--- a/src/test/kotlin/umberslip/loopback/LoopbackKeyValueStore.kt
+++ b/src/test/kotlin/umberslip/loopback/LoopbackKeyValueStore.kt
@@ -55,7 +55,7 @@
         val page = stored.list(query.getValue("under"), query["after"])
         return CborAnswer(
             200,
-            mapOf("entries" to page.entries.map(::entry), "has_next" to page.more, "epoch" to page.revision),
+            mapOf("entries" to page.entries.map(::entry), "has_next" to page.hasMore, "epoch" to page.revision),
         )
     }
 
@@ -99,7 +99,7 @@
             is TransactionResult.Applied -> CborAnswer(200, mapOf("epoch" to result.version.value))
             is TransactionResult.PreconditionFailed -> CborAnswer(409, mapOf("failed" to result.failed, "epoch" to 0))
             TransactionResult.LeaseExpired -> CborAnswer(400, mapOf("error" to "no such lease"))
-            is TransactionResult.Rejected -> CborAnswer(400, mapOf("error" to result.why))
+            is TransactionResult.Rejected -> CborAnswer(400, mapOf("error" to result.reason))
         }
     }
 
--- a/src/test/kotlin/umberslip/records/KeysTest.kt
+++ b/src/test/kotlin/umberslip/records/KeysTest.kt
@@ -18,8 +18,8 @@
             checkAll(propertyTests, Arb.string(0, 20)) { text ->
                 val id = JobId.parse(text)
                 if (id != null) {
-                    assertEquals(id, Keys.asJob(Keys.job(id)))
-                    assertEquals(ProgressKey(id, 3), Keys.asProgress(Keys.progress(id, 3)))
+                    assertEquals(id, Keys.parseJobId(Keys.job(id)))
+                    assertEquals(ProgressKey(id, 3), Keys.parseProgressKey(Keys.progress(id, 3)))
                     assertEquals(TaskId(id, 12), TaskId.parse(TaskId(id, 12).toString()))
                 }
             }
--- a/src/test/kotlin/umberslip/records/MalformedRecordsTest.kt
+++ b/src/test/kotlin/umberslip/records/MalformedRecordsTest.kt
@@ -52,8 +52,8 @@
 
     private fun logEntry(): LogRecord {
         val starts = listOf(Placement(4, 3, MachineName("h-2")), Placement(5, 3, MachineName("h-3")))
-        val ends = listOf(LoggedExit(3, 2, true), LoggedExit(6, 1, false))
-        return LogRecord(78, mapOf(jobId to LogRow(starts, ends)))
+        val exits = listOf(LoggedExit(3, 2, true), LoggedExit(6, 1, false))
+        return LogRecord(78, mapOf(jobId to LogRow(starts, exits)))
     }
 
     private fun bootingMachines() =
--- a/src/test/kotlin/umberslip/records/RecordFormatTest.kt
+++ b/src/test/kotlin/umberslip/records/RecordFormatTest.kt
@@ -169,7 +169,9 @@
                 val estimate =
                     LogRecord.FIXED_BYTES +
                         record.rows.entries.sumOf { (job, row) ->
-                            LogRecord.bytes(job) + row.starts.sumOf(LogRecord::bytes) + row.ends.sumOf(LogRecord::bytes)
+                            LogRecord.bytes(job) +
+                                row.starts.sumOf(LogRecord::bytes) +
+                                row.exits.sumOf(LogRecord::bytes)
                         }
                 assertTrue(Documents.jsonSize(record.toMap()) <= estimate)
             }
--- a/src/test/kotlin/umberslip/scheduling/DependencyGraphTest.kt
+++ b/src/test/kotlin/umberslip/scheduling/DependencyGraphTest.kt
@@ -140,7 +140,7 @@
             val deadline = minOf(ownDeadline, model.inheritedDeadline(id, jobs.keys))
             assertEquals(deadline, job.firstDeadline, "$id deadline")
             val state = DependencyState.of(job.record.value, { jobs[it]?.record?.value }, ::outcome)
-            assertEquals(DependencyState.Open, state)
+            assertEquals(DependencyState.NotCancelled, state)
         }
 
         private fun outcome(id: JobId): JobOutcome? =
@@ -178,7 +178,7 @@
                 first.takeIf { _ -> it == specs[0].id }
             }
         assertEquals(DependencyState.Cancelled, of(JobOutcome.CANCELLED))
-        assertEquals(DependencyState.Open, of(JobOutcome.DONE))
+        assertEquals(DependencyState.NotCancelled, of(JobOutcome.DONE))
         assertEquals(DependencyState.Unread(setOf(specs[0].id)), of(null))
         val cancelled =
             DependencyState.of(
--- a/src/test/kotlin/umberslip/scheduling/LogCompactionTest.kt
+++ b/src/test/kotlin/umberslip/scheduling/LogCompactionTest.kt
@@ -114,7 +114,7 @@
                 .toSet() + last.attempt,
             row.starts.map { it.attempt }.toSet(),
         )
-        assertEquals(listOf(LoggedExit(last.index, last.attempt, false)), row.ends, "and does not show it as running")
+        assertEquals(listOf(LoggedExit(last.index, last.attempt, false)), row.exits, "and does not show it as running")
     }
 
     @Test
--- a/src/test/kotlin/umberslip/scheduling/RecordedWritesTest.kt
+++ b/src/test/kotlin/umberslip/scheduling/RecordedWritesTest.kt
@@ -154,11 +154,11 @@
         leader.now += 10.seconds
         leader.heartbeat("m", *job.placedTasks().map { ended(it, ExitCause.DONE) }.toTypedArray())
         leader.write()
-        assertTrue(leader.written.none { Keys.asProgress(it.key) != null })
+        assertTrue(leader.written.none { Keys.parseProgressKey(it.key) != null })
         val long = leader.job()
         leader.startAll(long)
         leader.now += 30.seconds
         leader.write()
-        assertTrue(leader.written.any { Keys.asProgress(it.key)?.job == long.spec.id })
+        assertTrue(leader.written.any { Keys.parseProgressKey(it.key)?.job == long.spec.id })
     }
 }
--- a/src/test/kotlin/umberslip/store/HttpKeyValueStoreTest.kt
+++ b/src/test/kotlin/umberslip/store/HttpKeyValueStoreTest.kt
@@ -44,7 +44,7 @@
         val calls: List<suspend () -> Any?> =
             listOf(
                 { store.get("u/owner") },
-                { store.lookUp("end/run-000001") },
+                { store.getLowPriority("end/run-000001") },
                 { store.list("u/", null) },
                 { store.changes("u/", 1) },
                 { store.compareAndSwap(emptyList(), emptyList()) },
--- a/src/test/kotlin/umberslip/store/UnusedKeyValueStore.kt
+++ b/src/test/kotlin/umberslip/store/UnusedKeyValueStore.kt
@@ -7,7 +7,7 @@
 object UnusedKeyValueStore : KeyValueStore {
     override suspend fun get(key: String): Entry? = refuse()
 
-    override suspend fun lookUp(key: String): Entry? = refuse()
+    override suspend fun getLowPriority(key: String): Entry? = refuse()
 
     override suspend fun list(
         prefix: String,
