--- a/src/main/kotlin/umberslip/records/BootingMachinesRecord.kt
+++ b/src/main/kotlin/umberslip/records/BootingMachinesRecord.kt
@@ -4,7 +4,7 @@
 import umberslip.http.Fields
 import java.time.Instant
 
-/** A machine that a leader requested from the cloud and that sent no heartbeat yet. */
+/** A machine that a leader requested from the cloud and that has not sent a heartbeat yet. */
 data class RecordedBootingMachine(
     val machineName: MachineName,
     val instanceType: String,
@@ -13,11 +13,11 @@
     val requested: Instant,
 )
 
-/** A leader's booting machines, so that its successor does not request the same capacity again. */
+/** The booting machines of a leader, stored so that the next leader does not request the same capacity again. */
 data class BootingMachinesRecord(
     val machines: List<RecordedBootingMachine>,
 ) {
-    /** The record as it is stored. */
+    /** Returns the record in its stored form. */
     fun toMap(): Map<String, Any?> =
         mapOf(
             MACHINES to
@@ -40,13 +40,16 @@
         private const val SPOT = "spot"
         private const val REQUESTED_MILLIS = "since_ms"
 
-        /** More than the record takes without machines, in JSON, which the limit of values counts. */
+        /**
+         * An upper bound of the size of a record without machines, in its JSON form, to which the key-value store's
+         * limit for values applies.
+         */
         private const val FIXED_BYTES = 100
 
-        /** A machine's field names, quotes, brackets and numbers. */
+        /** An upper bound of the JSON size of a machine's field names, quotes, brackets and numbers. */
         private const val ENTRY_BYTES = 80
 
-        /** The first of [machines], as many as fit into a value. */
+        /** Returns a record of as many of the first [machines] as fit into a value of [valueBytes]. */
         fun fitting(
             machines: Collection<RecordedBootingMachine>,
             valueBytes: Int,
@@ -61,15 +64,15 @@
         }
 
         /**
-         * The machines of a stored record, each parsed when the sequence reaches it, so that those before a malformed
-         * one can still be used.
+         * Returns the machines of a stored record. Each machine is parsed when the sequence reaches it, so that the
+         * machines before a malformed one can still be used.
          *
-         * @throws umberslip.http.MalformedMessageException naming the field that is missing or invalid, here or at the
-         * malformed machine
+         * @throws umberslip.http.MalformedMessageException naming the field that is missing or invalid; thrown by this
+         * function, or by the sequence when it reaches a malformed machine
          */
         fun parse(data: Any?): Sequence<RecordedBootingMachine> =
             Fields.of(data, Keys.BOOTING_MACHINES).maps(MACHINES).asSequence().map { fields ->
-                // The order of reading decides which of several malformed fields is reported.
+                // If several fields are malformed, the one that is read first is reported.
                 val requested = Instant.ofEpochMilli(fields.long(REQUESTED_MILLIS))
                 RecordedBootingMachine(
                     machineName = MachineName(fields.text(MACHINE_NAME)),
--- a/src/main/kotlin/umberslip/records/DependencyState.kt
+++ b/src/main/kotlin/umberslip/records/DependencyState.kt
@@ -3,28 +3,32 @@
 import umberslip.core.JobId
 
 /**
- * Whether a job is cancelled because one of its dependencies, direct or transitive, is cancelled. That needs no record
- * of its own: it follows from the dependency's outcome, so every controller answers the same from the moment that the
- * cancellation was acknowledged. Pure.
+ * Whether a job is cancelled because one of its direct or transitive dependencies is cancelled.
+ *
+ * This state is not stored. It is derived from the records and outcomes of the dependencies, so every controller
+ * returns the same answer once the cancellation of the dependency has been acknowledged.
  */
 sealed interface DependencyState {
-    /** A dependency is cancelled, and so is the job. */
+    /** A dependency is cancelled, and therefore the job as well. */
     data object Cancelled : DependencyState
 
-    /** No dependency is cancelled; some may be unfinished. */
+    /** No dependency is cancelled. Some may be unfinished. */
     data object NotCancelled : DependencyState
 
-    /** Unknown before the outcomes of these jobs have been read. */
+    /** The state cannot be determined before the outcomes of the jobs [ids] have been read. */
     data class Unread(
         val ids: Set<JobId>,
     ) : DependencyState
 
     companion object {
-        /** [record] finds unfinished jobs; [outcome] says how others finished, null where that was not read yet. */
+        /**
+         * Determines the state of [job]. [findRecord] returns the record of an unfinished job, and null for other jobs.
+         * [findOutcome] returns the outcome of a finished job, or null if it has not been read yet. Pure.
+         */
         fun of(
             job: JobRecord,
-            record: (JobId) -> JobRecord?,
-            outcome: (JobId) -> JobOutcome?,
+            findRecord: (JobId) -> JobRecord?,
+            findOutcome: (JobId) -> JobOutcome?,
         ): DependencyState {
             val visited = HashSet<JobId>()
             val unread = LinkedHashSet<JobId>()
@@ -32,12 +36,12 @@
             while (toVisit.isNotEmpty()) {
                 val id = toVisit.removeLast()
                 if (!visited.add(id)) continue
-                val dependency = record(id)
+                val dependency = findRecord(id)
                 if (dependency != null) {
                     if (dependency.cancelled) return Cancelled
                     toVisit += dependency.spec.dependencies
                 } else {
-                    when (outcome(id)) {
+                    when (findOutcome(id)) {
                         JobOutcome.CANCELLED -> return Cancelled
                         JobOutcome.DONE -> Unit
                         null -> unread += id
--- a/src/main/kotlin/umberslip/records/JobRecord.kt
+++ b/src/main/kotlin/umberslip/records/JobRecord.kt
@@ -10,7 +10,7 @@
     val submitted: Instant,
     val cancelled: Boolean,
 ) {
-    /** The record as it is stored. */
+    /** Returns the record in its stored form. */
     fun toMap(): Map<String, Any?> =
         mapOf(
             SPEC to spec.toMap(),
--- a/src/main/kotlin/umberslip/records/JobSpecCodec.kt
+++ b/src/main/kotlin/umberslip/records/JobSpecCodec.kt
@@ -7,7 +7,7 @@
 import umberslip.http.Fields
 import umberslip.http.MalformedMessageException
 
-/** The names of a job specification's fields, in submissions and in stored records alike. */
+/** The names of a job specification's fields, both in submissions and in stored records. */
 private object JobSpecField {
     const val ID = "uid"
     const val JOB_CLASS = "jobclass"
@@ -44,7 +44,7 @@
     )
 private val PRIORITY_NAMES = PRIORITIES.entries.associate { (name, priority) -> priority to name }
 
-/** The specification as it is submitted and stored. A job without dependencies has no field for them. */
+/** Returns the specification in its submitted and stored form, which omits the dependencies if there are none. */
 fun JobSpec.toMap(): Map<String, Any?> =
     mapOf(
         JobSpecField.ID to id.value,
@@ -69,51 +69,51 @@
         JobSpecField.DEADLINE_SECONDS to deadlineSeconds,
     ) + if (dependencies.isEmpty()) emptyMap() else mapOf(JobSpecField.DEPENDENCIES to dependencies.map { it.value })
 
-/** Reads job specifications, from submissions and from stored records. */
+/** Parses job specifications from submissions and stored records. */
 object JobSpecCodec {
-    /** The protocol's limit. */
+    /** The protocol's limit for the number of tasks of a job. */
     const val MAX_TASKS = 100_000L
 
-    /** No amount or time makes sense beyond it: thirty years of seconds. */
+    /** An upper bound of sensible amounts and times; in seconds, it is about thirty years. */
     private const val MAX_AMOUNT = 1e9
 
     /** @throws MalformedMessageException naming the field that is missing or invalid */
     fun parse(fields: Fields): JobSpec {
-        val tasks = tasks(fields)
-        val cpus = amount(fields, JobSpecField.CPUS)
-        val gpus = amount(fields, JobSpecField.GPUS)
-        val memoryGb = amount(fields, JobSpecField.MEMORY_GB)
+        val tasks = parseTasks(fields)
+        val cpus = parseAmount(fields, JobSpecField.CPUS)
+        val gpus = parseAmount(fields, JobSpecField.GPUS)
+        val memoryGb = parseAmount(fields, JobSpecField.MEMORY_GB)
         if (cpus + gpus + memoryGb <= 0) throw MalformedMessageException("a task takes nothing of its machine")
         return JobSpec(
-            id = id(fields),
+            id = parseId(fields),
             jobClass = fields.text(JobSpecField.JOB_CLASS),
             team = fields.text(JobSpecField.TEAM),
-            shape = constant(fields, JobSpecField.SHAPE, SHAPES),
-            priority = constant(fields, JobSpecField.PRIORITY, PRIORITIES),
+            shape = parseConstant(fields, JobSpecField.SHAPE, SHAPES),
+            priority = parseConstant(fields, JobSpecField.PRIORITY, PRIORITIES),
             tasks = tasks,
             cpus = cpus,
             gpus = gpus,
             memoryGb = memoryGb,
             image = fields.text(JobSpecField.IMAGE),
-            imageGb = amount(fields, JobSpecField.IMAGE_GB),
+            imageGb = parseAmount(fields, JobSpecField.IMAGE_GB),
             instanceTypes = fields.textsOrNull(JobSpecField.INSTANCE_TYPES),
             zone = fields.textOrNull(JobSpecField.ZONE),
             oneZone = fields.flag(JobSpecField.ONE_ZONE),
             spread = fields.flag(JobSpecField.SPREAD),
             spot = fields.flag(JobSpecField.SPOT),
-            expectedSeconds = amount(fields, JobSpecField.EXPECTED_SECONDS),
-            checkpointIntervalSeconds = amount(fields, JobSpecField.CHECKPOINT_INTERVAL_SECONDS),
-            checkpointSaveSeconds = amount(fields, JobSpecField.CHECKPOINT_SAVE_SECONDS),
-            deadlineSeconds = amountOrNull(fields, JobSpecField.DEADLINE_SECONDS),
-            dependencies = dependencies(fields),
+            expectedSeconds = parseAmount(fields, JobSpecField.EXPECTED_SECONDS),
+            checkpointIntervalSeconds = parseAmount(fields, JobSpecField.CHECKPOINT_INTERVAL_SECONDS),
+            checkpointSaveSeconds = parseAmount(fields, JobSpecField.CHECKPOINT_SAVE_SECONDS),
+            deadlineSeconds = parseAmountOrNull(fields, JobSpecField.DEADLINE_SECONDS),
+            dependencies = parseDependencies(fields),
         )
     }
 
-    private fun id(fields: Fields): JobId =
+    private fun parseId(fields: Fields): JobId =
         JobId.parse(fields.text(JobSpecField.ID))
             ?: throw MalformedMessageException("${JobSpecField.ID} is not a job id")
 
-    private fun tasks(fields: Fields): Int {
+    private fun parseTasks(fields: Fields): Int {
         val tasks = fields.long(JobSpecField.TASKS)
         if (tasks !in 1..MAX_TASKS) {
             throw MalformedMessageException("${JobSpecField.TASKS} is not within 1..$MAX_TASKS")
@@ -121,7 +121,7 @@
         return tasks.toInt()
     }
 
-    private fun amount(
+    private fun parseAmount(
         fields: Fields,
         name: String,
     ): Double {
@@ -130,18 +130,18 @@
         return amount
     }
 
-    private fun amountOrNull(
+    private fun parseAmountOrNull(
         fields: Fields,
         name: String,
-    ): Double? = if (fields.has(name)) amount(fields, name) else null
+    ): Double? = if (fields.has(name)) parseAmount(fields, name) else null
 
-    private fun <T : Any> constant(
+    private fun <T : Any> parseConstant(
         fields: Fields,
         name: String,
         constants: Map<String, T>,
     ): T = constants[fields.text(name)] ?: throw MalformedMessageException("$name has an unknown value")
 
-    private fun dependencies(fields: Fields): List<JobId> =
+    private fun parseDependencies(fields: Fields): List<JobId> =
         fields
             .textsOrNull(JobSpecField.DEPENDENCIES)
             .orEmpty()
--- a/src/main/kotlin/umberslip/records/LeaderRecord.kt
+++ b/src/main/kotlin/umberslip/records/LeaderRecord.kt
@@ -4,13 +4,13 @@
 import umberslip.http.Fields
 import umberslip.store.StoreLease
 
-/** Which member leads, under which term, and under which lease of the key-value store. */
+/** The current leader, its term, and its lease in the key-value store. */
 data class LeaderRecord(
     val member: String,
     val term: Term,
     val lease: StoreLease,
 ) {
-    /** The record as it is stored. */
+    /** Returns the record in its stored form. */
     fun toMap(): Map<String, Any?> = mapOf(MEMBER to member, TERM to term.value, LEASE to lease.id)
 
     companion object {
--- a/src/main/kotlin/umberslip/records/LogRecord.kt
+++ b/src/main/kotlin/umberslip/records/LogRecord.kt
@@ -5,7 +5,7 @@
 import umberslip.http.Fields
 import umberslip.http.MalformedMessageException
 
-/** A recorded exit: the task finished on its machine ([done]), or is certainly not there any more. */
+/** A recorded exit: the task either finished on its machine ([done]) or is certainly no longer on it. */
 data class LoggedExit(
     /** The task's index in its job. */
     val index: Int,
@@ -13,22 +13,24 @@
     val done: Boolean,
 )
 
-/** What a log entry records of one job. */
+/** The starts and exits of one job's tasks in a log entry. */
 data class LogRow(
     val starts: List<Placement>,
     val exits: List<LoggedExit>,
 )
 
 /**
- * An entry of the write-ahead log: starts and exits of tasks of many jobs in one value, so that they need few writes.
- * It counts for a progress block until the block's [ProgressRecord], which is written later, has reached its [seq].
+ * An entry of the write-ahead log. It holds starts and exits of tasks of many jobs in one value, which saves writes.
+ *
+ * The entry applies to a progress block until the block's [ProgressRecord], which is written later, has reached the
+ * entry's [seq].
  */
 data class LogRecord(
-    /** The entry's place in the log; rises with every entry, also across terms. */
+    /** The entry's sequence number in the log, which increases with every entry, also across terms. */
     val seq: Long,
     val rows: Map<JobId, LogRow>,
 ) {
-    /** The record as it is stored. */
+    /** Returns the record in its stored form. */
     fun toMap(): Map<String, Any?> =
         mapOf(
             SEQ to seq,
@@ -47,80 +49,86 @@
         private const val SEQ = "seq"
         private const val ROWS = "rows"
 
-        // What a row has at which index: its job, then one flat list for each kind of entry.
-        private const val JOB_AT = 0
-        private const val STARTS_AT = 1
-        private const val DONE_AT = 2
-        private const val REMOVED_AT = 3
+        // Positions in a stored row: the job id, then one flat list each for starts, exits of done tasks, and other
+        // exits.
+        private const val JOB_POSITION = 0
+        private const val STARTS_POSITION = 1
+        private const val DONE_EXITS_POSITION = 2
+        private const val OTHER_EXITS_POSITION = 3
 
-        // How many values of a flat list make up one start, and one exit.
+        // The number of consecutive values in a flat list that make up one start or one exit.
         private const val START_FIELDS = 3
-        private const val END_FIELDS = 2
+        private const val EXIT_FIELDS = 2
 
-        /** More than the field names and the sequence number take in JSON, which the limit of values counts. */
+        /**
+         * An upper bound of the size of the field names and the sequence number in JSON, the form to which the
+         * key-value store's limit for values applies.
+         */
         const val FIXED_BYTES = 60
 
-        // Brackets, quotes and commas of a row, a start and an exit in their JSON form.
+        // The JSON size of the brackets, quotes and commas of a row, a start and an exit.
         private const val ROW_BYTES = 14
         private const val START_BYTES = 5
-        private const val END_BYTES = 2
+        private const val EXIT_BYTES = 2
 
-        /** An upper bound of what a row takes without its starts and exits. */
+        /** Returns an upper bound of the JSON size of a row without its starts and exits. */
         fun bytes(job: JobId): Int = job.value.length + ROW_BYTES
 
-        /** An upper bound of what a start takes. */
+        /** Returns an upper bound of the JSON size of a start. */
         fun bytes(start: Placement): Int {
             val digits = start.index.toString().length + start.attempt.toString().length
             return digits + start.machineName.value.length + START_BYTES
         }
 
-        /** An upper bound of what an exit takes. */
-        fun bytes(end: LoggedExit): Int = end.index.toString().length + end.attempt.toString().length + END_BYTES
+        /** Returns an upper bound of the JSON size of an exit. */
+        fun bytes(exit: LoggedExit): Int = exit.index.toString().length + exit.attempt.toString().length + EXIT_BYTES
 
         /** @throws MalformedMessageException naming the field that is missing or invalid */
         fun parse(data: Any?): LogRecord {
             val fields = Fields.of(data)
-            return LogRecord(fields.long(SEQ), fields.list(ROWS).associate(::row))
+            return LogRecord(fields.long(SEQ), fields.list(ROWS).associate(::parseRow))
         }
 
-        private fun row(entry: Any?): Pair<JobId, LogRow> {
+        private fun parseRow(entry: Any?): Pair<JobId, LogRow> {
             val row = entry as? List<*> ?: throw MalformedMessageException("$ROWS has a row that is not a list")
             val job =
-                (row.getOrNull(JOB_AT) as? String)?.let(JobId::parse)
+                (row.getOrNull(JOB_POSITION) as? String)?.let(JobId::parse)
                     ?: throw MalformedMessageException("$ROWS has a row without a job id")
-            val starts = flat(row, STARTS_AT).chunked(START_FIELDS).map(::start)
-            val ends = ends(flat(row, DONE_AT), done = true) + ends(flat(row, REMOVED_AT), done = false)
-            return job to LogRow(starts, ends)
+            val starts = flatList(row, STARTS_POSITION).chunked(START_FIELDS).map(::parseStart)
+            val exits =
+                parseExits(flatList(row, DONE_EXITS_POSITION), done = true) +
+                    parseExits(flatList(row, OTHER_EXITS_POSITION), done = false)
+            return job to LogRow(starts, exits)
         }
 
-        private fun flat(
+        private fun flatList(
             row: List<*>,
-            at: Int,
+            position: Int,
         ): List<*> =
-            row.getOrNull(at) as? List<*>
-                ?: throw MalformedMessageException("$ROWS has a row without a list at index $at")
+            row.getOrNull(position) as? List<*>
+                ?: throw MalformedMessageException("$ROWS has a row without a list at index $position")
 
-        private fun start(values: List<*>): Placement {
+        private fun parseStart(values: List<*>): Placement {
             val index = values[0]
             val attempt = values.getOrNull(1)
             val machineName = values.getOrNull(2)
             if (index !is Long || attempt !is Long || machineName !is String) {
                 throw MalformedMessageException("$ROWS has a start that is not [task, attempt, machine]")
             }
-            return Placement(taskIndex(ROWS, index), attempt, MachineName(machineName))
+            return Placement(parseTaskIndex(ROWS, index), attempt, MachineName(machineName))
         }
 
-        private fun ends(
-            flat: List<*>,
+        private fun parseExits(
+            flatList: List<*>,
             done: Boolean,
         ): List<LoggedExit> =
-            flat.chunked(END_FIELDS).map { values ->
+            flatList.chunked(EXIT_FIELDS).map { values ->
                 val index = values[0]
                 val attempt = values.getOrNull(1)
                 if (index !is Long || attempt !is Long) {
                     throw MalformedMessageException("$ROWS has an exit that is not [task, attempt]")
                 }
-                LoggedExit(taskIndex(ROWS, index), attempt, done)
+                LoggedExit(parseTaskIndex(ROWS, index), attempt, done)
             }
     }
 }
--- a/src/main/kotlin/umberslip/records/MachineSetRecord.kt
+++ b/src/main/kotlin/umberslip/records/MachineSetRecord.kt
@@ -4,25 +4,31 @@
 import umberslip.http.Fields
 
 /**
- * A set of machines: those with revoked lease renewals, whose leases only the leader may renew, or those whose leases
- * a follower renewed on the leader's behalf.
+ * A set of machines. The record at [Keys.REVOKED_RENEWALS] names the machines whose leases only the leader may renew.
+ * A record at [Keys.followerRenewals] names the machines whose leases that follower renewed on the leader's behalf.
  */
 data class MachineSetRecord(
     val machineNames: Set<MachineName>,
 ) {
-    /** The record as it is stored. */
+    /** Returns the record in its stored form. */
     fun toMap(): Map<String, Any?> = mapOf(MACHINES to machineNames.map { it.value })
 
     companion object {
         private const val MACHINES = "hosts"
 
-        /** More than the field name and its brackets take in JSON, which the limit of values counts. */
+        /**
+         * An upper bound of the size of the field name and its brackets in JSON, the form to which the key-value
+         * store's limit for values applies.
+         */
         private const val FIXED_BYTES = 20
 
-        /** The quotes and the comma of a name. */
+        /** The JSON size of the quotes and the comma of a name. */
         private const val ENTRY_BYTES = 3
 
-        /** The first of [machineNames], as many as fit into a value: a cluster may have more than that. */
+        /**
+         * Returns as many of the first [machineNames] as fit into a value of [valueBytes]. A cluster may have more
+         * machines than fit.
+         */
         fun fitting(
             machineNames: Collection<MachineName>,
             valueBytes: Int,
--- a/src/main/kotlin/umberslip/records/MalformedRecordException.kt
+++ b/src/main/kotlin/umberslip/records/MalformedRecordException.kt
@@ -5,15 +5,20 @@
 import umberslip.store.Entry
 
 /**
- * The record stored at [key] cannot be read for [reason]. It is neither used nor taken for absent, and nobody
- * overwrites it; what depends on it fails as if the key-value store did not serve the read.
+ * Thrown if the record stored at [key] cannot be parsed, for the given [reason]. Such a record is neither used nor
+ * treated as absent, and no controller overwrites it. An operation that depends on it fails in the same way as if the
+ * key-value store had refused the read.
  */
 class MalformedRecordException(
     val key: String,
     val reason: String,
 ) : ServiceUnavailableException("the record at $key is malformed: $reason")
 
-/** The entry's record as [parse] reads it. */
+/**
+ * Returns the entry's record, read by [parse].
+ *
+ * @throws MalformedRecordException if [parse] throws a [MalformedMessageException]
+ */
 fun <T> Entry.parseRecord(parse: (Any?) -> T): T =
     try {
         parse(data)
--- a/src/main/kotlin/umberslip/records/OutcomeRecord.kt
+++ b/src/main/kotlin/umberslip/records/OutcomeRecord.kt
@@ -9,12 +9,12 @@
     CANCELLED,
 }
 
-/** How a job with that many [tasks] finished; never changed once written. */
+/** The outcome of a finished job and its number of [tasks]. The record never changes once it is written. */
 data class OutcomeRecord(
     val outcome: JobOutcome,
     val tasks: Int,
 ) {
-    /** The record as it is stored. */
+    /** Returns the record in its stored form. */
     fun toMap(): Map<String, Any?> = mapOf(OUTCOME to OUTCOME_NAMES.getValue(outcome), TASKS to tasks)
 
     companion object {
--- a/src/main/kotlin/umberslip/records/RecordPages.kt
+++ b/src/main/kotlin/umberslip/records/RecordPages.kt
@@ -4,15 +4,15 @@
 import umberslip.store.KeyValueStore
 
 /**
- * All records, read page by page. The pages are not from the same moment: changes after [revision], which is that of
- * the first page, may be included or not. Applying those changes again does no harm.
+ * All replicated records, read page by page. The pages are not a consistent snapshot: [revision] is the revision of the
+ * first page, and later changes may or may not be included. Applying those changes again does no harm.
  */
 class RecordPages(
     val entries: List<Entry>,
     val revision: Long,
 ) {
     companion object {
-        /** @throws umberslip.http.ServiceException where a page could not be read */
+        /** @throws umberslip.http.ServiceException if a page could not be read */
         suspend fun read(store: KeyValueStore): RecordPages {
             val first = store.list(Keys.ROOT, null)
             val entries = ArrayList(first.entries)
--- a/src/main/kotlin/umberslip/records/RecordReplica.kt
+++ b/src/main/kotlin/umberslip/records/RecordReplica.kt
@@ -10,8 +10,9 @@
 import java.util.BitSet
 
 /**
- * This controller's copy of the records of all unfinished jobs. Pure state, confined to one thread: the [RecordWatcher]
- * reads the key-value store. Changes may be applied repeatedly and out of order; the newest version of a key counts.
+ * This controller's copy of the records of all unfinished jobs. It does no I/O, since the [RecordWatcher] reads the
+ * key-value store, and it is confined to one thread. Changes may be applied repeatedly and out of order; the newest
+ * version of a key wins.
  */
 class RecordReplica : RecordView {
     private val log = LoggerFactory.getLogger("umberslip.records")
@@ -19,8 +20,10 @@
     private val blocks = HashMap<JobId, HashMap<Int, Versioned<ProgressRecord>>>()
     private val logEntries = HashMap<Int, Versioned<LogRecord>>()
 
-    /** The rows of the log by job and slot, since every question about a job needs its own. */
+    /** The rows of the log by job and slot, because each query for a job needs only the rows of that job. */
     private val logRows = HashMap<JobId, HashMap<Int, LogRow>>()
+
+    /** The versions of malformed records by key. */
     private val malformed = HashMap<String, Version>()
     override val unreadable: Set<String> get() = malformed.keys
 
@@ -47,12 +50,12 @@
         val placed = BitSet()
         val loggedDone = BitSet()
         for (block in stored) for (placement in block.placed) placed.set(placement.index)
-        // Replayed in order, since a later entry may repeat what an earlier one says.
+        // Rows are replayed in log order, since a later entry may repeat starts and exits of an earlier one.
         for (row in rowsAfter(storedSeq, id)) {
             for (start in row.starts) placed.set(start.index)
-            for (end in row.exits) {
-                placed.clear(end.index)
-                if (end.done) loggedDone.set(end.index)
+            for (exit in row.exits) {
+                placed.clear(exit.index)
+                if (exit.done) loggedDone.set(exit.index)
             }
         }
         val tasks = jobs[id]?.value?.spec?.tasks ?: 0
@@ -60,7 +63,7 @@
         return Progress(done, running = placed.cardinality().coerceAtMost(tasks - done))
     }
 
-    /** A job's rows of the log entries later than [seq], in the order of the log. */
+    /** Returns the job's rows from the log entries after [seq], in log order. */
     private fun rowsAfter(
         seq: Long,
         id: JobId,
@@ -73,21 +76,24 @@
             .map { (_, row) -> row }
     }
 
-    /** Applies a change that the key-value store reported; null where nobody has to act on it. */
+    /** Applies a change that the key-value store reported. Returns null if no controller has to react to it. */
     fun apply(change: Change): RecordEvent? =
         when (change) {
             is Change.Put -> put(Entry(change.key, change.data, change.version))
             is Change.Delete -> remove(change.key, change.version)
         }
 
-    /** Applies [entries], which are all records: jobs, progress blocks and a leader not among them were removed. */
+    /**
+     * Applies the result of a complete read. Jobs, progress blocks and a leader that are missing from [entries] were
+     * removed from the key-value store.
+     */
     fun replace(entries: List<Entry>): List<RecordEvent> {
         val present = entries.mapTo(HashSet()) { it.key }
-        val known = ArrayList<String>()
-        jobs.keys.mapTo(known, Keys::job)
-        for ((id, ofJob) in blocks) ofJob.keys.mapTo(known) { Keys.progress(id, it) }
-        known += Keys.LEADER
-        val removals = known.filter { it !in present }.mapNotNull { remove(it, NEWER_THAN_ANY) }
+        val heldKeys = ArrayList<String>()
+        jobs.keys.mapTo(heldKeys, Keys::job)
+        for ((id, blocksOfJob) in blocks) blocksOfJob.keys.mapTo(heldKeys) { Keys.progress(id, it) }
+        heldKeys += Keys.LEADER
+        val removals = heldKeys.filter { it !in present }.mapNotNull { remove(it, NEWER_THAN_ANY) }
         return removals + entries.mapNotNull(::put)
     }
 
@@ -97,10 +103,11 @@
             if (malformed[entry.key]?.let { it.value < entry.version.value } == true) malformed.remove(entry.key)
             event
         } catch (e: MalformedMessageException) {
-            // Reported, never guessed at: the key is left alone, and its job neither runs nor is forgotten.
+            // The record is reported and its contents are not guessed. Its key is not written, and its job is neither
+            // run nor treated as removed.
             if (malformed.put(entry.key, entry.version) == null) {
                 log.error(
-                    "malformed record left alone: key={} version={} reason={}",
+                    "malformed record kept but not used: key={} version={} reason={}",
                     entry.key,
                     entry.version.value,
                     e.message,
@@ -111,24 +118,24 @@
 
     private fun putParsed(entry: Entry): RecordEvent? {
         val job = Keys.parseJobId(entry.key)
-        val block = if (job == null) Keys.parseProgressKey(entry.key) else null
+        val progressKey = if (job == null) Keys.parseProgressKey(entry.key) else null
         val slot = Keys.parseLogSlot(entry.key)
         when {
             job != null -> return putJob(job, entry)
-            block != null -> putProgress(block, entry)
+            progressKey != null -> putProgress(progressKey, entry)
             slot != null -> putLogEntry(slot, entry)
             entry.key == Keys.LEADER -> return putLeader(entry)
             entry.key == Keys.TERM -> term = Versioned(TermRecord.parse(entry.data).term, entry.version)
             entry.key == Keys.REVOKED_RENEWALS -> putRevokedRenewals(entry)
             entry.key == Keys.BOOTING_MACHINES -> bootingMachines = entry.data
-            Keys.isFollowerRenewals(entry.key) -> {
+            Keys.isFollowerRenewalsKey(entry.key) -> {
                 return RecordEvent.LeasesRenewedByFollower(MachineSetRecord.parse(entry.data).machineNames)
             }
         }
         return null
     }
 
-    private fun Entry.isNewerThan(known: Versioned<*>?): Boolean = known == null || version.value > known.version.value
+    private fun Entry.isNewerThan(held: Versioned<*>?): Boolean = held == null || version.value > held.version.value
 
     private fun putJob(
         id: JobId,
@@ -144,9 +151,9 @@
         key: ProgressKey,
         entry: Entry,
     ) {
-        val ofJob = blocks.getOrPut(key.job) { HashMap() }
-        if (!entry.isNewerThan(ofJob[key.block])) return
-        ofJob[key.block] = Versioned(ProgressRecord.parse(entry.data), entry.version)
+        val blocksOfJob = blocks.getOrPut(key.job) { HashMap() }
+        if (!entry.isNewerThan(blocksOfJob[key.block])) return
+        blocksOfJob[key.block] = Versioned(ProgressRecord.parse(entry.data), entry.version)
     }
 
     private fun putLogEntry(
@@ -191,11 +198,11 @@
     ): RecordEvent? {
         malformed.remove(key)
         val job = Keys.parseJobId(key)
-        val block = if (job == null) Keys.parseProgressKey(key) else null
+        val progressKey = if (job == null) Keys.parseProgressKey(key) else null
         return when {
             job != null -> removeJob(job, version)
-            block != null -> {
-                removeProgress(block, version)
+            progressKey != null -> {
+                removeProgress(progressKey, version)
                 null
             }
             key == Keys.LEADER -> removeLeader(version)
@@ -209,8 +216,8 @@
         id: JobId,
         removal: Version,
     ): RecordEvent? {
-        val known = jobs[id] ?: return null
-        if (!known.isOlderThan(removal)) return null
+        val held = jobs[id] ?: return null
+        if (!held.isOlderThan(removal)) return null
         jobs.remove(id)
         return RecordEvent.JobRemoved(id)
     }
@@ -219,20 +226,20 @@
         key: ProgressKey,
         removal: Version,
     ) {
-        val ofJob = blocks[key.job] ?: return
-        if (ofJob[key.block]?.isOlderThan(removal) == true) ofJob.remove(key.block)
-        if (ofJob.isEmpty()) blocks.remove(key.job)
+        val blocksOfJob = blocks[key.job] ?: return
+        if (blocksOfJob[key.block]?.isOlderThan(removal) == true) blocksOfJob.remove(key.block)
+        if (blocksOfJob.isEmpty()) blocks.remove(key.job)
     }
 
     private fun removeLeader(removal: Version): RecordEvent? {
-        val known = leader ?: return null
-        if (!known.isOlderThan(removal)) return null
+        val held = leader ?: return null
+        if (!held.isOlderThan(removal)) return null
         leader = null
         return RecordEvent.LeaderChanged(null)
     }
 
     private companion object {
-        /** What a complete read does not show was removed, whatever its version was. */
+        /** For keys that a complete read does not contain: they were removed, whatever version is held. */
         val NEWER_THAN_ANY = Version(Long.MAX_VALUE)
     }
 }
--- a/src/main/kotlin/umberslip/records/RecordView.kt
+++ b/src/main/kotlin/umberslip/records/RecordView.kt
@@ -3,55 +3,56 @@
 import umberslip.core.JobId
 import umberslip.core.Term
 
-/** How many tasks of a job are done, and how many are on machines, as the records say. */
+/** The numbers of a job's tasks that are done and that are on machines, according to the records. */
 data class Progress(
     val done: Int,
     val running: Int,
 )
 
 /**
- * A read-only view of all records of unfinished jobs, for the actors' thread. It is live: later reads of the key-value
- * store show in it.
+ * A read-only view of the records of all unfinished jobs, for use on the actors' thread. The view is live: it reflects
+ * later reads of the key-value store.
  */
 interface RecordView {
-    /** Null where no member leads. */
+    /** The record of the current leader; null if there is none. */
     val leader: Versioned<LeaderRecord>?
 
     /** The highest term that was ever used; null before the first election. */
     val term: Versioned<Term>?
 
-    /** The stored [BootingMachinesRecord], not parsed yet; null where there is none. */
+    /** The stored [BootingMachinesRecord], not parsed yet; null if there is none. */
     val bootingMachines: Any?
 
     /** The machines whose leases only the leader may renew. */
     val revokedRenewals: Versioned<MachineSetRecord>?
 
-    /** The keys of malformed records; these are left alone, and what they hold is unknown. */
+    /** The keys of malformed records. No controller overwrites these records, and their contents are unknown. */
     val unreadable: Set<String>
 
-    /** The record of an unfinished job; null for others, and for one whose first record is malformed. */
+    /** Returns the record of an unfinished job; null for other jobs, and if all versions read so far were malformed. */
     fun job(id: JobId): Versioned<JobRecord>?
 
     /**
-     * The record of an unfinished job, where it matters whether there is none.
+     * Returns the record of an unfinished job, for callers that have to distinguish a missing record from a malformed
+     * one.
      *
-     * @throws MalformedRecordException where there is one, but it is malformed
+     * @throws MalformedRecordException if there is a record, but it is malformed
      */
     fun readJob(id: JobId): Versioned<JobRecord>? {
         val key = Keys.job(id)
-        if (key in unreadable) throw MalformedRecordException(key, "see the log of the first read")
+        if (key in unreadable) throw MalformedRecordException(key, "the reason was logged on the first read")
         return job(id)
     }
 
-    /** The records of all unfinished jobs. */
+    /** Returns the records of all unfinished jobs. */
     fun jobs(): Map<JobId, Versioned<JobRecord>>
 
-    /** The progress records of each job by block. */
+    /** Returns the progress records of each job by block number. */
     fun progressRecords(): Map<JobId, Map<Int, Versioned<ProgressRecord>>>
 
-    /** The entries of the write-ahead log by slot. */
+    /** Returns the entries of the write-ahead log by slot. */
     fun log(): Map<Int, Versioned<LogRecord>>
 
-    /** A job's progress by its progress records and the later log entries. */
+    /** Returns a job's progress according to its progress records and the later log entries. */
     fun progress(id: JobId): Progress
 }
--- a/src/main/kotlin/umberslip/records/RecordWatcher.kt
+++ b/src/main/kotlin/umberslip/records/RecordWatcher.kt
@@ -13,67 +13,72 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-/** What the [RecordWatcher] handles. */
+/** The messages of the [RecordWatcher]. */
 sealed interface RecordWatcherMessage {
-    /** Answered with a view confirmed by a read that began after this message; null where that read failed. */
+    /**
+     * Requests a view that is confirmed by a read which begins after this message. The [answer] is null if the read
+     * failed or too many callers wait.
+     */
     class Confirm(
         val answer: CompletableDeferred<RecordView?>,
     ) : RecordWatcherMessage
 
-    /** Something was written that controllers should see soon. */
+    /** Requests a read soon, because something was written that controllers should see. */
     data object Refresh : RecordWatcherMessage
 
-    /** The watcher's own: the read under way ended. */
+    /** Sent by the watcher to itself when the current read has ended. */
     class ReadCompleted(
         val confirmed: Boolean,
     ) : RecordWatcherMessage
 
-    /** The watcher's own: its timer fired. */
-    data object Due : RecordWatcherMessage
+    /** Sent by the watcher to itself when its timer has fired. */
+    data object TimerFired : RecordWatcherMessage
 }
 
 /** Receives the events of each confirmed read; called on the actors' thread. */
 fun interface RecordListener {
-    /** The replica shows [events] and everything else that was written before [readBegan]. */
-    fun changed(
+    /** Called when the replica includes [events] and everything else that was written before [readBegan]. */
+    fun onRecordsRead(
         events: List<RecordEvent>,
         readBegan: Duration,
     )
 }
 
 /**
- * Keeps a replica of the records up to date by reading the changes after the last known revision. One read runs at a
- * time; all who ask for a confirmed view while it runs share the next one.
+ * Keeps a replica of the records up to date by reading the changes after the last known revision. Only one read runs at
+ * a time. All callers that request a confirmed view during a read share the next read.
  */
 class RecordWatcher(
     private val scope: CoroutineScope,
     private val store: KeyValueStore,
     private val clock: Clock,
-    /** How many requests there can be at once: each may wait for a read. */
+    /** The maximum number of concurrent requests, each of which may wait for a read. */
     private val maxRequests: Int,
     private val listener: RecordListener,
 ) : Actor<RecordWatcherMessage>("records", scope, DEFAULT_CAPACITY + maxRequests) {
     private val maxWaiting = DEFAULT_CAPACITY + maxRequests
     private val replica = RecordReplica()
 
-    /** The revision that the replica shows; null before the first complete read. */
+    /** The revision of the replica; null before the first complete read. */
     private var revision: Long? = null
     private var isReading = false
 
-    /** Who is answered by the read under way, and who by the next one. */
-    private var askedBeforeRead = ArrayList<CompletableDeferred<RecordView?>>()
-    private var waiting = ArrayList<CompletableDeferred<RecordView?>>()
+    /** The callers that the current read answers. */
+    private var currentCallers = ArrayList<CompletableDeferred<RecordView?>>()
+
+    /** The callers that the next read answers. */
+    private var nextCallers = ArrayList<CompletableDeferred<RecordView?>>()
     private var refreshRequested = false
-    private var lastFailed = false
+    private var lastReadFailed = false
     private val failures = FailureSeries()
-    private var lastBegan = Duration.ZERO
+    private var lastReadBegan = Duration.ZERO
     private var timer: Job? = null
 
-    /** When the last confirmed read began, or null before the first. */
+    /** When the last confirmed read began; null before the first one. */
     var confirmedAt: Duration? = null
         private set
 
-    /** The records as of a read that begins after this call; null where it failed or too many callers wait. */
+    /** Returns the records as of a read that begins after this call; null if it failed or too many callers wait. */
     suspend fun confirm(): RecordView? {
         val answer = CompletableDeferred<RecordView?>()
         if (!trySend(RecordWatcherMessage.Confirm(answer))) return null
@@ -85,12 +90,12 @@
     override suspend fun receive(message: RecordWatcherMessage) {
         when (message) {
             is RecordWatcherMessage.Confirm -> {
-                if (waiting.size < maxWaiting) waiting.add(message.answer) else message.answer.complete(null)
+                if (nextCallers.size < maxWaiting) nextCallers.add(message.answer) else message.answer.complete(null)
             }
             RecordWatcherMessage.Refresh -> refreshRequested = true
-            RecordWatcherMessage.Due -> {
+            RecordWatcherMessage.TimerFired -> {
                 timer = null
-                if (clock.now() - lastBegan >= IDLE_INTERVAL) refreshRequested = true
+                if (clock.now() - lastReadBegan >= IDLE_INTERVAL) refreshRequested = true
             }
             is RecordWatcherMessage.ReadCompleted -> readCompleted(message.confirmed)
         }
@@ -99,25 +104,25 @@
 
     private fun readCompleted(confirmed: Boolean) {
         isReading = false
-        // A read that failed unexpectedly is spaced out as well.
-        lastFailed = !confirmed
-        val answered = askedBeforeRead
-        askedBeforeRead = ArrayList()
+        // The longer interval applies after an unexpected failure, too.
+        lastReadFailed = !confirmed
+        val answered = currentCallers
+        currentCallers = ArrayList()
         answered.forEach { it.complete(if (confirmed) replica else null) }
     }
 
-    /** Begins the next read, or sets the timer for it. */
+    /** Begins the next read, or starts the timer for it. */
     private fun schedule() {
         if (isReading) return
         val now = clock.now()
-        val isWanted = refreshRequested || waiting.isNotEmpty()
-        // Reads are spaced out: those who ask meanwhile share one, and the key-value store's rate limit is kept.
-        val interval = if (lastFailed) FAILURE_INTERVAL else MIN_INTERVAL
-        val sinceLast = now - lastBegan
-        if (isWanted && (sinceLast >= interval || lastBegan == Duration.ZERO)) {
-            begin(now)
-        } else if (timer?.isActive != true || isWanted) {
-            startTimer((if (isWanted) interval else IDLE_INTERVAL) - sinceLast)
+        val isReadRequested = refreshRequested || nextCallers.isNotEmpty()
+        // Spacing out the reads lets callers share a read and keeps to the key-value store's rate limit.
+        val interval = if (lastReadFailed) FAILURE_INTERVAL else MIN_INTERVAL
+        val sinceLast = now - lastReadBegan
+        if (isReadRequested && (sinceLast >= interval || lastReadBegan == Duration.ZERO)) {
+            beginRead(now)
+        } else if (timer?.isActive != true || isReadRequested) {
+            startTimer((if (isReadRequested) interval else IDLE_INTERVAL) - sinceLast)
         }
     }
 
@@ -127,67 +132,71 @@
             scope.launch {
                 delay(wait)
                 timer = null
-                enqueue(RecordWatcherMessage.Due)
+                enqueue(RecordWatcherMessage.TimerFired)
             }
     }
 
-    private fun begin(now: Duration) {
+    private fun beginRead(now: Duration) {
         timer?.cancel()
         timer = null
         isReading = true
         refreshRequested = false
-        lastBegan = now
-        askedBeforeRead = waiting
-        waiting = ArrayList()
+        lastReadBegan = now
+        currentCallers = nextCallers
+        nextCallers = ArrayList()
         scope.launch {
             var confirmed = false
             try {
                 confirmed = read(now)
             } finally {
-                // However the read ended: without this message no other would ever begin.
+                // Sent however the read ended, because no further read would begin without this message.
                 enqueue(RecordWatcherMessage.ReadCompleted(confirmed))
             }
         }
     }
 
-    /** Whether the replica is confirmed to show everything written before [began]. */
+    /** Returns whether the replica is confirmed to include everything that was written before [began]. */
     private suspend fun read(began: Duration): Boolean {
         try {
             val events = readChanges() ?: readAll()
-            succeeded(began)
-            listener.changed(events, began)
+            readSucceeded(began)
+            listener.onRecordsRead(events, began)
             return true
         } catch (e: ServiceException) {
-            failed(e)
+            readFailed(e)
             return false
         }
     }
 
-    /** Null where everything has to be read: at first, and where the known revision is too old. */
+    /**
+     * Reads and applies the changes since the last read. Returns null if all records have to be read instead, because
+     * none were read before or [revision] is too old.
+     */
     private suspend fun readChanges(): List<RecordEvent>? {
-        val from = revision ?: return null
-        val changes = store.changes(Keys.ROOT, from) ?: return null
+        val after = revision ?: return null
+        val changes = store.changes(Keys.ROOT, after) ?: return null
         if (changes.changes.isNotEmpty()) {
-            log.debug("changes read: after={} revision={} changes={}", from, changes.revision, changes.changes.size)
+            log.debug("changes read: after={} revision={} changes={}", after, changes.revision, changes.changes.size)
         }
         return changes.changes.mapNotNull(replica::apply).also { revision = changes.revision }
     }
 
     private suspend fun readAll(): List<RecordEvent> {
-        // Changes are read on from the first page's revision: what later pages show already is applied twice.
+        // The next read of changes starts at the first page's revision. Changes that later pages include already are
+        // then applied twice.
         val pages = RecordPages.read(store)
         revision = pages.revision
         log.info("all records read: records={} revision={}", pages.entries.size, pages.revision)
         return replica.replace(pages.entries)
     }
 
-    private fun succeeded(began: Duration) {
+    private fun readSucceeded(began: Duration) {
         val failedReads = failures.succeeded()
         if (failedReads > 0) log.info("records can be read again: failedReads={}", failedReads)
         confirmedAt = began
     }
 
-    private fun failed(failure: ServiceException) {
+    private fun readFailed(failure: ServiceException) {
         val now = clock.now()
         if (!failures.failed(now)) return
         log.warn(
@@ -199,13 +208,13 @@
     }
 
     private companion object {
-        /** Between reads that somebody waits for: short beside a heartbeat, long beside a read. */
+        /** Between reads that callers wait for: short compared with a heartbeat interval, long compared with a read. */
         val MIN_INTERVAL = 70.milliseconds
 
-        /** Between reads while they fail, so that a struggling key-value store is spared. */
+        /** Between reads while they fail, to reduce the load on a key-value store in trouble. */
         val FAILURE_INTERVAL = 250.milliseconds
 
-        /** Between reads that nobody asked for: they show what other controllers wrote. */
+        /** Between reads that no caller requested; they pick up what other controllers wrote. */
         val IDLE_INTERVAL = 300.milliseconds
     }
 }
--- a/src/main/kotlin/umberslip/records/TermRecord.kt
+++ b/src/main/kotlin/umberslip/records/TermRecord.kt
@@ -3,11 +3,11 @@
 import umberslip.core.Term
 import umberslip.http.Fields
 
-/** The highest term that was ever used; it outlives the leader's record, so that terms only rise. */
+/** The highest term that was ever used. It is kept when the leader's record is removed, so that terms only increase. */
 data class TermRecord(
     val term: Term,
 ) {
-    /** The record as it is stored. */
+    /** Returns the record in its stored form. */
     fun toMap(): Map<String, Any?> = mapOf(TERM to term.value)
 
     companion object {
--- a/src/main/kotlin/umberslip/store/HttpKeyValueStore.kt
+++ b/src/main/kotlin/umberslip/store/HttpKeyValueStore.kt
@@ -11,7 +11,10 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-/** The key-value store over HTTP. All requests keep to the rate limit of [requests]; leases never wait for it. */
+/**
+ * A client of the key-value store over HTTP. All requests count against the rate limit of [requests], but lease
+ * requests never wait for it.
+ */
 class HttpKeyValueStore(
     private val http: HttpClient,
     private val requests: RateLimiter,
@@ -22,8 +25,8 @@
     }
 
     override suspend fun getLowPriority(key: String): Entry? {
-        if (!requests.takeSpare(1, LOOK_UP_PATIENCE)) {
-            throw ServiceUnavailableException("no request to the key-value store to spare for a look-up")
+        if (!requests.tryTakeLowPriority(1, MAX_RATE_LIMIT_WAIT)) {
+            throw ServiceUnavailableException("rate limit of the key-value store is exhausted for low-priority reads")
         }
         return fetch(key)
     }
@@ -31,9 +34,9 @@
     private suspend fun fetch(key: String): Entry? {
         val reply = send(HttpMethod.GET, "${KeyValueStoreProtocol.KEYS_PATH}/$key", null)
         return when (reply.status) {
-            200 -> decode { KeyValueStoreProtocol.entry(reply.fields()) }
+            200 -> decode { KeyValueStoreProtocol.parseEntry(reply.fields()) }
             404 -> null
-            else -> refused(reply)
+            else -> throwRefused(reply)
         }
     }
 
@@ -41,16 +44,16 @@
         prefix: String,
         after: String?,
     ): Page {
-        val from = if (after == null) "" else "&${KeyValueStoreProtocol.AFTER}=$after"
-        val query = "${KeyValueStoreProtocol.PREFIX}=$prefix$from&${KeyValueStoreProtocol.PAGE_SIZE}=$PAGE_ENTRIES"
+        val cursor = if (after == null) "" else "&${KeyValueStoreProtocol.AFTER}=$after"
+        val query = "${KeyValueStoreProtocol.PREFIX}=$prefix$cursor&${KeyValueStoreProtocol.PAGE_SIZE}=$PAGE_ENTRIES"
         val reply = call(HttpMethod.GET, "${KeyValueStoreProtocol.KEYS_PATH}?$query", null)
-        if (reply.status != 200) refused(reply)
-        return decode { page(reply.fields()) }
+        if (reply.status != 200) throwRefused(reply)
+        return decode { parsePage(reply.fields()) }
     }
 
-    private fun page(fields: Fields) =
+    private fun parsePage(fields: Fields) =
         Page(
-            entries = fields.maps(KeyValueStoreProtocol.ENTRIES).map(KeyValueStoreProtocol::entry),
+            entries = fields.maps(KeyValueStoreProtocol.ENTRIES).map(KeyValueStoreProtocol::parseEntry),
             hasMore = fields.flag(KeyValueStoreProtocol.HAS_MORE),
             revision = fields.long(KeyValueStoreProtocol.REVISION),
         )
@@ -59,18 +62,18 @@
         prefix: String,
         after: Long,
     ): Changes? {
-        // The response comes at once, also where nothing changed: the caller decides when to ask again.
+        // The store responds at once even if nothing changed, because the caller decides when to poll again.
         val query =
             "${KeyValueStoreProtocol.PREFIX}=$prefix&${KeyValueStoreProtocol.AFTER}=$after&" +
                 "${KeyValueStoreProtocol.WAIT_MILLIS}=0"
         val reply = call(HttpMethod.GET, "${KeyValueStoreProtocol.CHANGES_PATH}?$query", null)
         if (reply.status == 410) return null
-        if (reply.status != 200) refused(reply)
-        return decode { changes(reply.fields()) }
+        if (reply.status != 200) throwRefused(reply)
+        return decode { parseChanges(reply.fields()) }
     }
 
-    private fun changes(fields: Fields): Changes {
-        val changes = fields.maps(KeyValueStoreProtocol.EVENTS).map(KeyValueStoreProtocol::change)
+    private fun parseChanges(fields: Fields): Changes {
+        val changes = fields.maps(KeyValueStoreProtocol.EVENTS).map(KeyValueStoreProtocol::parseChange)
         return Changes(fields.long(KeyValueStoreProtocol.REVISION), changes)
     }
 
@@ -84,21 +87,21 @@
                 KeyValueStoreProtocol.WRITES to writes.map(KeyValueStoreProtocol::write),
             )
         val reply = call(HttpMethod.POST, KeyValueStoreProtocol.TRANSACTION_PATH, body)
-        return decode { transactionResult(reply) }
+        return decode { parseTransactionResult(reply) }
     }
 
-    private fun transactionResult(reply: Reply): TransactionResult =
+    private fun parseTransactionResult(reply: Reply): TransactionResult =
         when (reply.status) {
             200 -> TransactionResult.Applied(Version(reply.fields().long(KeyValueStoreProtocol.REVISION)))
             409 -> {
                 val failed = reply.fields().textsOrNull(KeyValueStoreProtocol.FAILED_KEYS)
                 TransactionResult.PreconditionFailed(failed.orEmpty())
             }
-            400 -> rejected(reply)
-            else -> refused(reply)
+            400 -> parseRejection(reply)
+            else -> throwRefused(reply)
         }
 
-    private fun rejected(reply: Reply): TransactionResult {
+    private fun parseRejection(reply: Reply): TransactionResult {
         val error = reply.fields().textOrNull(KeyValueStoreProtocol.ERROR)
         if (error == KeyValueStoreProtocol.NO_SUCH_LEASE) return TransactionResult.LeaseExpired
         return TransactionResult.Rejected("${reply.body}")
@@ -107,26 +110,26 @@
     override suspend fun openLease(ttl: Duration): StoreLease {
         val body = mapOf(KeyValueStoreProtocol.TTL_MILLIS to ttl.inWholeMilliseconds)
         val reply = call(HttpMethod.POST, KeyValueStoreProtocol.LEASES_PATH, body, urgent = true)
-        if (reply.status != 200) refused(reply)
+        if (reply.status != 200) throwRefused(reply)
         return decode { StoreLease(reply.fields().long(KeyValueStoreProtocol.LEASE)) }
     }
 
     override suspend fun renew(lease: StoreLease): Boolean {
-        val path = "${path(lease)}/${KeyValueStoreProtocol.RENEW}"
+        val path = "${leasePath(lease)}/${KeyValueStoreProtocol.RENEW}"
         val reply = call(HttpMethod.POST, path, emptyMap<String, Any?>(), urgent = true)
         return when (reply.status) {
             200 -> true
             404 -> false
-            else -> refused(reply)
+            else -> throwRefused(reply)
         }
     }
 
     override suspend fun endLease(lease: StoreLease) {
-        val reply = call(HttpMethod.DELETE, path(lease), null, urgent = true)
-        if (reply.status != 200 && reply.status != 404) refused(reply)
+        val reply = call(HttpMethod.DELETE, leasePath(lease), null, urgent = true)
+        if (reply.status != 200 && reply.status != 404) throwRefused(reply)
     }
 
-    private fun path(lease: StoreLease) = "${KeyValueStoreProtocol.LEASES_PATH}/${lease.id}"
+    private fun leasePath(lease: StoreLease) = "${KeyValueStoreProtocol.LEASES_PATH}/${lease.id}"
 
     private suspend fun call(
         method: HttpMethod,
@@ -144,7 +147,7 @@
         body: Any?,
     ): Reply = decode { http.call(method, path, body, TIMEOUT) }
 
-    /** Whatever an unreadable response said, the request may have been carried out. */
+    /** Treats an unreadable response as none, because the request may have been carried out. */
     private inline fun <T> decode(read: () -> T): T =
         try {
             read()
@@ -152,19 +155,19 @@
             throw NoResponseException("key-value store: ${e.message}")
         }
 
-    private fun refused(reply: Reply): Nothing {
-        val what = "key-value store responded ${reply.status} ${reply.body}"
-        if (reply.status != 429) throw ServiceUnavailableException(what)
+    private fun throwRefused(reply: Reply): Nothing {
+        val message = "key-value store responded ${reply.status} ${reply.body}"
+        if (reply.status != 429) throw ServiceUnavailableException(message)
         requests.lowerRate()
-        throw RateLimitedException(what)
+        throw RateLimitedException(message)
     }
 
     private companion object {
-        /** Half of what the protocol allows in a response. */
+        /** Half of the maximum number of entries that the protocol allows in a response. */
         const val PAGE_ENTRIES = 500
         val TIMEOUT = 1000.milliseconds
 
-        /** Users wait 2 s for the response to a request. */
-        val LOOK_UP_PATIENCE = 500.milliseconds
+        /** A fraction of the 2 s that users wait for the response to a request. */
+        val MAX_RATE_LIMIT_WAIT = 500.milliseconds
     }
 }
--- a/src/main/kotlin/umberslip/store/KeyValueStoreProtocol.kt
+++ b/src/main/kotlin/umberslip/store/KeyValueStoreProtocol.kt
@@ -23,7 +23,7 @@
     const val HAS_MORE = "has_next"
     const val EVENTS = "events"
     const val PUT = "set"
-    const val DROP = "drop"
+    const val DELETE = "drop"
 
     const val PRECONDITIONS = "guards"
     const val WRITES = "writes"
@@ -33,28 +33,28 @@
     const val ERROR = "error"
     const val NO_SUCH_LEASE = "no such lease"
 
-    /** An item of [ENTRIES], or the whole response to a request for one key. */
-    fun entry(fields: Fields): Entry = Entry(fields.text(KEY), fields.raw()[DATA], version(fields))
+    /** Parses an item of [ENTRIES], or the whole response to a request for one key. */
+    fun parseEntry(fields: Fields): Entry = Entry(fields.text(KEY), fields.raw()[DATA], parseVersion(fields))
 
-    /** An item of [EVENTS]. */
-    fun change(fields: Fields): Change {
-        val version = version(fields)
-        val put = fields.textOrNull(PUT) ?: return Change.Delete(fields.text(DROP), version)
+    /** Parses an item of [EVENTS]. */
+    fun parseChange(fields: Fields): Change {
+        val version = parseVersion(fields)
+        val put = fields.textOrNull(PUT) ?: return Change.Delete(fields.text(DELETE), version)
         return Change.Put(put, fields.raw()[DATA], version)
     }
 
-    private fun version(fields: Fields) = Version(fields.long(VERSION))
+    private fun parseVersion(fields: Fields) = Version(fields.long(VERSION))
 
-    /** An item of [PRECONDITIONS]. */
+    /** Returns an item of [PRECONDITIONS]. */
     fun precondition(precondition: Precondition): Map<String, Any?> {
         val version = precondition.version.value
         return mapOf(KEY to precondition.key, VERSION to version)
     }
 
-    /** An item of [WRITES]. */
+    /** Returns an item of [WRITES]. */
     fun write(write: Write): Map<String, Any?> =
         when (write) {
-            is Write.Delete -> mapOf(DROP to write.key)
+            is Write.Delete -> mapOf(DELETE to write.key)
             is Write.Put ->
                 buildMap {
                     put(PUT, write.key)
--- a/src/main/kotlin/umberslip/store/RateLimiter.kt
+++ b/src/main/kotlin/umberslip/store/RateLimiter.kt
@@ -7,26 +7,26 @@
 import kotlin.time.DurationUnit
 
 /**
- * A token bucket: it keeps to a rate per second with bursts of one second's worth. Urgent takers may go into debt,
- * which the others then wait for. Confined to one thread.
+ * A token bucket with a rate per second and bursts of one second's worth of tokens. Urgent callers take tokens without
+ * waiting, even if none are left; the other callers then wait until the debt is paid off. Confined to one thread.
  */
 class RateLimiter(
     /** Tokens per second. */
     private var rate: Double,
     private val clock: Clock,
-    /** The rate from [lowerRate] on. */
-    private val lowered: Double = rate,
+    /** The rate after a call of [lowerRate]. */
+    private val loweredRate: Double = rate,
 ) {
     private var tokens = rate
     private var lastRefill = clock.now()
 
-    /** What those who wait in [takeSpare] will take. */
-    private var reservedTokens = 0
+    /** The tokens that callers waiting in [tryTakeLowPriority] will take. */
+    private var awaitedTokens = 0
 
-    /** Tokens that [takeSpare] may take though none is spare. */
+    /** The tokens that [tryTakeLowPriority] may take even from the reserve for other callers. */
     private var guaranteedTokens = MAX_GUARANTEED_TOKENS
 
-    /** Takes [amount] tokens, and waits until they are there unless it is [urgent]. */
+    /** Takes [amount] tokens. Waits until they are available, unless the call is [urgent]. */
     suspend fun take(
         amount: Int,
         urgent: Boolean,
@@ -37,45 +37,45 @@
     }
 
     /**
-     * Takes what leaves a reserve for other takers, who then do not wait for this one, or else of a small share that is
-     * guaranteed to it, so that it is served under a lasting load of others too. False, at once, where either would
-     * take longer than [patience].
+     * Takes [amount] tokens with low priority. The call leaves a reserve for other callers, so that they need not wait
+     * for it. If there are no tokens beyond the reserve, it uses a small guaranteed share of the rate, so that it also
+     * succeeds under a lasting load from other callers. Returns false at once if both would take longer than [maxWait].
      */
-    suspend fun takeSpare(
+    suspend fun tryTakeLowPriority(
         amount: Int,
-        patience: Duration,
+        maxWait: Duration,
     ): Boolean {
         refill()
-        val secondsUntilSpare = (reservedTokens + amount + rate * RESERVE - tokens) / rate
-        val secondsUntilGuaranteed = (reservedTokens + amount - guaranteedTokens) / (rate * GUARANTEED_SHARE)
-        val wait = minOf(secondsUntilSpare, secondsUntilGuaranteed).seconds
-        if (wait > patience) return false
+        val secondsUntilAboveReserve = (awaitedTokens + amount + rate * RESERVED_FRACTION - tokens) / rate
+        val secondsUntilGuaranteed = (awaitedTokens + amount - guaranteedTokens) / (rate * GUARANTEED_SHARE)
+        val wait = minOf(secondsUntilAboveReserve, secondsUntilGuaranteed).seconds
+        if (wait > maxWait) return false
         if (wait > Duration.ZERO) {
-            reservedTokens += amount
+            awaitedTokens += amount
             delay(wait)
-            reservedTokens -= amount
+            awaitedTokens -= amount
             refill()
         }
-        if (tokens - amount < rate * RESERVE) guaranteedTokens -= amount
+        if (tokens - amount < rate * RESERVED_FRACTION) guaranteedTokens -= amount
         tokens -= amount
         return true
     }
 
-    /** Changes to the lowered rate for good: a service that began to enforce it does not return to the former one. */
+    /** Lowers the rate permanently, because a service that began to enforce the lower rate does not raise it again. */
     fun lowerRate() {
-        if (lowered >= rate) return
+        if (loweredRate >= rate) return
         refill()
-        rate = lowered
+        rate = loweredRate
         tokens = minOf(tokens, rate)
     }
 
-    /** How long until [amount] could be taken without waiting. */
+    /** Returns how long it takes until [amount] tokens can be taken without waiting. */
     fun timeUntilAvailable(amount: Int): Duration {
         refill()
         return if (tokens >= amount) Duration.ZERO else ((amount - tokens) / rate).seconds
     }
 
-    /** How many tokens could be taken without waiting; negative while in debt. */
+    /** Returns how many tokens can be taken without waiting; negative while there is a debt. */
     fun available(): Int {
         refill()
         return tokens.toInt()
@@ -90,13 +90,13 @@
     }
 
     private companion object {
-        /** The part of a second's worth that is left to others by those who take only what is spare. */
-        const val RESERVE = 0.3
+        /** The fraction of one second's tokens that low-priority calls leave to other callers. */
+        const val RESERVED_FRACTION = 0.3
 
-        /** The part of the rate that they have even where nothing is spare. */
+        /** The fraction of the rate that low-priority calls get even if only the reserve is left. */
         const val GUARANTEED_SHARE = 0.25
 
-        /** Hardly any burst, since others use up the rate when it is needed. */
+        /** Allows hardly any burst, since other callers use up the rate whenever the guaranteed share is needed. */
         const val MAX_GUARANTEED_TOKENS = 2.0
     }
 }
--- a/src/main/kotlin/umberslip/store/StoreModel.kt
+++ b/src/main/kotlin/umberslip/store/StoreModel.kt
@@ -1,12 +1,12 @@
 package umberslip.store
 
-/** A lease of the key-value store: keys put under it are removed when it expires or ends. */
+/** A lease of the key-value store. Keys that are put under the lease are removed when it expires or ends. */
 @JvmInline
 value class StoreLease(
     val id: Long,
 )
 
-/** The revision at which a key last changed; 0 where there is no such key. */
+/** The revision at which a key last changed; 0 if the key does not exist. */
 @JvmInline
 value class Version(
     val value: Long,
@@ -16,14 +16,14 @@
     }
 }
 
-/** A key's value as it was read. */
+/** A key with the value and the version that were read. */
 data class Entry(
     val key: String,
     val data: Any?,
     val version: Version,
 )
 
-/** A change of a key, as the key-value store reports it to those who follow a prefix. */
+/** A change of a key, as the key-value store reports it to clients that read the changes under a prefix. */
 sealed interface Change {
     val key: String
     val version: Version
@@ -34,17 +34,17 @@
         override val version: Version,
     ) : Change
 
-    /** The key was removed, also by the expiry of its lease. */
+    /** The key was removed by a write, or because its lease expired or ended. */
     data class Delete(
         override val key: String,
         override val version: Version,
     ) : Change
 }
 
-/** Some of the entries under a prefix, in the order of their keys. */
+/** A page of the entries under a prefix, in the order of their keys. */
 class Page(
     val entries: List<Entry>,
-    /** Whether there are entries after these. */
+    /** Whether there are more entries after this page. */
     val hasMore: Boolean,
     /** The revision at which the page was read. */
     val revision: Long,
@@ -56,7 +56,7 @@
     val changes: List<Change>,
 )
 
-/** A transaction is carried out only if the key still has that version. */
+/** A condition for a transaction: [key] must still have this [version]. */
 data class Precondition(
     val key: String,
     val version: Version,
@@ -66,7 +66,7 @@
 sealed interface Write {
     val key: String
 
-    /** With a [lease], the key is removed when that expires or ends. */
+    /** Sets a key. If [lease] is given, the key is removed when the lease expires or ends. */
     data class Put(
         override val key: String,
         val data: Map<String, Any?>,
@@ -78,22 +78,22 @@
     ) : Write
 }
 
-/** What became of a transaction. Only [Applied] wrote anything. */
+/** The result of a transaction. Nothing was written unless it is [Applied]. */
 sealed interface TransactionResult {
-    /** All writes were carried out; their keys have this version. */
+    /** All writes were carried out, and their keys have this [version]. */
     data class Applied(
         val version: Version,
     ) : TransactionResult
 
-    /** The keys whose preconditions do not hold. */
+    /** At least one precondition does not hold; [failed] are the keys of those that do not. */
     data class PreconditionFailed(
         val failed: List<String>,
     ) : TransactionResult
 
-    /** A put named a lease that has expired or ended. */
+    /** A put refers to a lease that has expired or ended. */
     data object LeaseExpired : TransactionResult
 
-    /** The transaction exceeds a size limit or is malformed: sent again, it would be rejected again. */
+    /** The transaction exceeds a size limit or is malformed. It would be rejected again if it were retried. */
     data class Rejected(
         val reason: String,
     ) : TransactionResult
--- a/src/test/kotlin/umberslip/records/JobSpecCodecTest.kt
+++ b/src/test/kotlin/umberslip/records/JobSpecCodecTest.kt
@@ -13,12 +13,12 @@
 class JobSpecCodecTest {
     @Test
     fun `a malformed job specification is rejected`() {
-        // As it comes over the wire: the map itself has numbers of kinds that are never read, and would be refused for
-        // those alone.
-        val good = Fixtures.job(Random(1), 1).toMap()
+        // The map is encoded and decoded as on the wire. As it stands, it has types of numbers that are never decoded,
+        // and would be rejected for those alone.
+        val valid = Fixtures.job(Random(1), 1).toMap()
 
         fun parse(map: Map<String, Any?>) = JobSpecCodec.parse(Fields.of(readBack(map)))
-        parse(good)
+        parse(valid)
         for (
         (field, bad) in listOf(
             "uid" to "a b",
@@ -42,16 +42,16 @@
             "awaits" to listOf("a b"),
         )
         ) {
-            assertThrows(MalformedMessageException::class.java, { parse(good + (field to bad)) }, "$field $bad")
+            assertThrows(MalformedMessageException::class.java, { parse(valid + (field to bad)) }, "$field $bad")
         }
-        assertEquals(listOf(JobId("run-1")), parse(good + ("awaits" to listOf("run-1", "run-1"))).dependencies)
-        assertEquals(emptyList<JobId>(), parse(good + ("awaits" to null)).dependencies)
+        assertEquals(listOf(JobId("run-1")), parse(valid + ("awaits" to listOf("run-1", "run-1"))).dependencies)
+        assertEquals(emptyList<JobId>(), parse(valid + ("awaits" to null)).dependencies)
         val optional = setOf("hosttypes", "hall", "due_s")
-        for (field in good.keys) {
+        for (field in valid.keys) {
             if (field in optional) {
-                parse(good - field)
+                parse(valid - field)
             } else {
-                assertThrows(MalformedMessageException::class.java, { parse(good - field) }, "without $field")
+                assertThrows(MalformedMessageException::class.java, { parse(valid - field) }, "without $field")
             }
         }
     }
--- a/src/test/kotlin/umberslip/records/KeysTest.kt
+++ b/src/test/kotlin/umberslip/records/KeysTest.kt
@@ -15,7 +15,7 @@
     @Test
     fun `job ids need no escaping in keys`() =
         runBlocking<Unit> {
-            checkAll(propertyTests, Arb.string(0, 20)) { text ->
+            checkAll(propertyTestConfig, Arb.string(0, 20)) { text ->
                 val id = JobId.parse(text)
                 if (id != null) {
                     assertEquals(id, Keys.parseJobId(Keys.job(id)))
--- a/src/test/kotlin/umberslip/records/MalformedRecordsTest.kt
+++ b/src/test/kotlin/umberslip/records/MalformedRecordsTest.kt
@@ -19,10 +19,10 @@
 /**
  * Stored records with missing, surplus or odd values.
  *
- * A log row with too few values, such as a start of two, was read with `IndexOutOfBoundsException` in place of
- * [MalformedMessageException]. The record watcher's read ended without a message that it had completed, so no read
- * followed, and everything that is read from the replica grew old without a line in the log. A task index below zero
- * was read as it stood, and the next question about that job failed with the same exception.
+ * A log row with too few values, such as a start of two values, failed with `IndexOutOfBoundsException` instead of
+ * [MalformedMessageException]. The record watcher's read then ended without [RecordWatcherMessage.ReadCompleted], so no
+ * further read began and the replica became stale without a log line. A negative task index was accepted, and the next
+ * query for that job failed with the same exception.
  */
 class MalformedRecordsTest {
     private val jobId = JobId("run-000004")
@@ -62,12 +62,12 @@
         )
 
     @Test
-    fun `a malformed record of any kind is reported as such, and by no other exception`() {
+    fun `a malformed record of any kind is reported as malformed, and by no other exception`() {
         for (kind in kinds) {
             val record = readBack(kind.record)
             assertDoesNotThrow({ kind.parse(record) }, kind.name)
             for (seed in 1..500) {
-                val mutant = Mutation(Random(seed)).of(record)
+                val mutant = Mutator(Random(seed)).mutate(record)
                 val failure = runCatching { kind.parse(mutant) }.exceptionOrNull()
                 val isReported = failure == null || failure is MalformedMessageException
                 assertTrue(isReported, "${kind.name}, seed $seed: $mutant, $failure")
@@ -89,7 +89,7 @@
     }
 
     @Test
-    fun `whatever is stored, the replica reads on and answers every question`() {
+    fun `the replica applies changes and answers queries, whatever records are stored`() {
         for (seed in 1..500) {
             val random = Random(seed)
             val replica = RecordReplica()
@@ -101,7 +101,7 @@
                         Keys.progress(jobId, 0) to progress().toMap(),
                         Keys.job(jobId) to JobRecord(job(), Instant.ofEpochMilli(7), false).toMap(),
                     ).random(random)
-                val data = if (random.nextBoolean()) Mutation(random).of(readBack(record)) else readBack(record)
+                val data = if (random.nextBoolean()) Mutator(random).mutate(readBack(record)) else readBack(record)
                 replica.apply(Change.Put(key, data, Version(++version)))
                 assertDoesNotThrow({ replica.progress(jobId) }, "seed $seed, $key: $data")
             }
@@ -111,7 +111,7 @@
     private fun job() = Fixtures.job(Random(4), 4).copy(id = jobId, tasks = 8)
 
     @Test
-    fun `a malformed record is named once, and the others are applied`() {
+    fun `the key of a malformed record is reported, and the other records are applied`() {
         val replica = RecordReplica()
         replica.apply(Change.Put(Keys.log(1), mapOf("seq" to 1L, "rows" to listOf(listOf("x"))), Version(1)))
         replica.apply(Change.Put(Keys.log(2), readBack(logEntry().toMap()), Version(2)))
@@ -128,29 +128,29 @@
     }
 }
 
-/** Changes one value somewhere in a document: removes it, repeats it, or replaces it by an odd one. */
-private class Mutation(
+/** Mutates documents: removes, repeats or replaces one value at a random place. */
+private class Mutator(
     private val random: Random,
 ) {
-    fun of(document: Any?): Any? =
+    fun mutate(document: Any?): Any? =
         when {
-            document is Map<*, *> && document.isNotEmpty() && random.nextInt(8) > 0 -> ofMap(document)
-            document is List<*> && document.isNotEmpty() && random.nextInt(4) > 0 -> ofList(document)
+            document is Map<*, *> && document.isNotEmpty() && random.nextInt(8) > 0 -> mutateMap(document)
+            document is List<*> && document.isNotEmpty() && random.nextInt(4) > 0 -> mutateList(document)
             else -> ODD_VALUES.random(random)
         }
 
-    private fun ofMap(map: Map<*, *>): Map<*, *> {
+    private fun mutateMap(map: Map<*, *>): Map<*, *> {
         val key = map.keys.random(random)
         if (random.nextInt(4) == 0) return map - key
-        return map + (key to of(map[key]))
+        return map + (key to mutate(map[key]))
     }
 
-    private fun ofList(list: List<*>): List<*> {
+    private fun mutateList(list: List<*>): List<*> {
         val index = list.indices.random(random)
         return when (random.nextInt(4)) {
             0 -> list.filterIndexed { i, _ -> i != index }
             1 -> list + list[index]
-            else -> list.mapIndexed { i, item -> if (i == index) of(item) else item }
+            else -> list.mapIndexed { i, item -> if (i == index) mutate(item) else item }
         }
     }
 
--- a/src/test/kotlin/umberslip/records/RecordFormatTest.kt
+++ b/src/test/kotlin/umberslip/records/RecordFormatTest.kt
@@ -21,9 +21,9 @@
 import java.util.BitSet
 import kotlin.random.Random
 
-/** Records are read back as written, as earlier versions wrote them, and fit into values. */
+/** Records are read back as they were written, also by earlier versions, and fit into the store's values. */
 class RecordFormatTest {
-    /** The fields of records as the version in production writes them, written by hand from its format. */
+    /** The fields of records that the version in production writes, listed by hand according to its format. */
     private val productionFields =
         mapOf(
             "spec" to
@@ -50,17 +50,17 @@
                     "due_s",
                 ),
             "job" to setOf("spec", "submitted_ms", "cancelled"),
-            "chunk" to setOf("seq", "done", "placed", "last"),
+            "progress" to setOf("seq", "done", "placed", "last"),
             "log" to setOf("seq", "rows"),
-            "owner" to setOf("member", "term", "hold"),
-            "end" to setOf("status", "pieces"),
-            "hosts" to setOf("hosts"),
+            "leader" to setOf("member", "term", "hold"),
+            "outcome" to setOf("status", "pieces"),
+            "machines" to setOf("hosts"),
         )
 
     @Test
     fun `jobs and their specifications are read back as written`() =
         runBlocking<Unit> {
-            checkAll(propertyTests, Arb.long()) { seed ->
+            checkAll(propertyTestConfig, Arb.long()) { seed ->
                 val spec = Fixtures.job(Random(seed), 7)
                 assertEquals(spec, JobSpecCodec.parse(Fields.of(readBack(spec.toMap()))))
                 val job = JobRecord(spec, Instant.ofEpochMilli(seed and 0xffffff), seed % 2 == 0L)
@@ -69,7 +69,7 @@
         }
 
     @Test
-    fun `records of the version in production are read, and those without dependencies are written as it reads them`() {
+    fun `records of the version in production are read, and records without dependencies are written in its format`() {
         val spec = Fixtures.job(Random(4), 4)
         val job = JobRecord(spec, Instant.ofEpochMilli(7), false)
         val block =
@@ -97,16 +97,16 @@
             mapOf(
                 "spec" to spec.toMap(),
                 "job" to job.toMap(),
-                "chunk" to block.toMap(),
+                "progress" to block.toMap(),
                 "log" to log.toMap(),
-                "owner" to LeaderRecord("c-1", Term(4), StoreLease(9)).toMap(),
-                "end" to OutcomeRecord(JobOutcome.DONE, 3).toMap(),
-                "hosts" to MachineSetRecord(setOf(MachineName("h-1"))).toMap(),
+                "leader" to LeaderRecord("c-1", Term(4), StoreLease(9)).toMap(),
+                "outcome" to OutcomeRecord(JobOutcome.DONE, 3).toMap(),
+                "machines" to MachineSetRecord(setOf(MachineName("h-1"))).toMap(),
             )
         for ((kind, fields) in productionFields) assertEquals(fields, written.getValue(kind).keys, kind)
-        val old = mapOf("seq" to 77L, "done" to "0102", "placed" to listOf(listOf(3L, 2L, "h-1")), "last" to 2L)
-        assertEquals(block, ProgressRecord.parse(readBack(old)))
-        assertEquals(readBack(old), readBack(block.toMap()))
+        val oldBlock = mapOf("seq" to 77L, "done" to "0102", "placed" to listOf(listOf(3L, 2L, "h-1")), "last" to 2L)
+        assertEquals(block, ProgressRecord.parse(readBack(oldBlock)))
+        assertEquals(readBack(oldBlock), readBack(block.toMap()))
         val oldLog =
             mapOf(
                 "seq" to 78L,
@@ -125,11 +125,11 @@
     }
 
     @Test
-    fun `a progress block of any progress is read back and fits into a value`() =
+    fun `a progress record is read back and fits into a value, whatever the progress`() =
         runBlocking<Unit> {
             for (bytes in listOf(2048, 8192, 32768)) {
                 val tasks = ProgressRecord.tasksPerBlock(bytes)
-                checkAll(propertyTests.copy(iterations = 30), Arb.long()) { seed ->
+                checkAll(propertyTestConfig.copy(iterations = 30), Arb.long()) { seed ->
                     val random = Random(seed)
                     val done = BitSet().apply { repeat(tasks) { if (random.nextBoolean()) set(it) } }
                     val firstIndex = 90_000
@@ -150,11 +150,11 @@
     @Test
     fun `log entries are read back, and their size is never underestimated`() =
         runBlocking<Unit> {
-            checkAll(propertyTests, Arb.long(), Arb.int(1..6)) { seed, jobs ->
+            checkAll(propertyTestConfig, Arb.long(), Arb.int(1..6)) { seed, jobs ->
                 val random = Random(seed)
 
-                // The done ones come first, as they are stored.
-                fun ends() =
+                // Exits of done tasks come first, as in the stored form.
+                fun exits() =
                     List(random.nextInt(0, 9)) {
                         LoggedExit(random.nextInt(1000), random.nextLong(1, 40), random.nextBoolean())
                     }.sortedBy { !it.done }
@@ -162,7 +162,8 @@
                     LogRecord(
                         seed,
                         (1..jobs).associate {
-                            JobId("run-%06d".format(it)) to LogRow(placements(random, 0, random.nextInt(1, 20)), ends())
+                            JobId("run-%06d".format(it)) to
+                                LogRow(placements(random, 0, random.nextInt(1, 20)), exits())
                         },
                     )
                 assertEquals(record, LogRecord.parse(readBack(record.toMap())))
@@ -181,9 +182,9 @@
     fun `a machine set has as many of a cluster's machines as fit into a value`() {
         for (bytes in listOf(2048, 8192, 32768)) {
             val all = List(3000) { MachineName("host-%06d".format(it)) }
-            val named = MachineSetRecord.fitting(all, bytes)
-            assertEquals(all.take(named.size), named.toList())
-            assertTrue(Documents.jsonSize(MachineSetRecord(named).toMap()) in bytes - 50..bytes)
+            val fitting = MachineSetRecord.fitting(all, bytes)
+            assertEquals(all.take(fitting.size), fitting.toList())
+            assertTrue(Documents.jsonSize(MachineSetRecord(fitting).toMap()) in bytes - 50..bytes)
         }
     }
 
@@ -191,7 +192,7 @@
         RecordedBootingMachine(MachineName("host-000231"), "c8", "east", true, Instant.ofEpochMilli(1_790_000_000_123))
 
     @Test
-    fun `booting machines are stored under the names of earlier versions, and read back`() {
+    fun `booting machines are stored with the field names of earlier versions, and read back`() {
         val stored =
             mapOf(
                 "booting" to
@@ -211,7 +212,7 @@
     }
 
     @Test
-    fun `booting machines before a malformed one are read, and it is named`() {
+    fun `booting machines before a malformed one are read, and the exception names the malformed field`() {
         val machines = BootingMachinesRecord(listOf(booting)).toMap().getValue("booting") as List<*>
         val malformed = readBack(mapOf("booting" to machines + mapOf("host" to "h")))
         val read = ArrayList<RecordedBootingMachine>()
--- a/src/test/kotlin/umberslip/records/RecordReplicaTest.kt
+++ b/src/test/kotlin/umberslip/records/RecordReplicaTest.kt
@@ -25,18 +25,18 @@
     ) = replica.apply(Change.Put(key, readBack(record), Version(version)))
 
     @Test
-    fun `the replica shows the newest versions whatever changes are repeated`() =
+    fun `the replica holds the newest versions, whichever changes are repeated`() =
         runBlocking<Unit> {
             val specs = List(4) { Fixtures.job(Random(it), it) }
-            checkAll(propertyTests, Arb.long()) { seed ->
+            checkAll(propertyTestConfig, Arb.long()) { seed ->
                 val random = Random(seed)
-                val last = HashMap<String, Change>()
-                val all = ArrayList<Change>()
+                val latest = HashMap<String, Change>()
+                val allChanges = ArrayList<Change>()
                 for (version in 1L..40L) {
                     val spec = specs[random.nextInt(specs.size)]
                     val key = Keys.job(spec.id)
                     val change =
-                        if (last[key] is Change.Put && random.nextInt(3) == 0) {
+                        if (latest[key] is Change.Put && random.nextInt(3) == 0) {
                             Change.Delete(key, Version(version))
                         } else {
                             Change.Put(
@@ -45,18 +45,18 @@
                                 Version(version),
                             )
                         }
-                    last[key] = change
-                    all += change
+                    latest[key] = change
+                    allChanges += change
                 }
                 val replica = RecordReplica()
-                // Every change once in order, with older ones seen again in between.
-                all.forEachIndexed { i, change ->
+                // Each change is applied once in order; earlier deletions are repeated in between.
+                allChanges.forEachIndexed { i, change ->
                     replica.apply(change)
-                    val old = all[random.nextInt(i + 1)]
+                    val old = allChanges[random.nextInt(i + 1)]
                     if (old is Change.Delete) replica.apply(old)
                 }
                 val newest =
-                    last.values
+                    latest.values
                         .filterIsInstance<Change.Put>()
                         .map { it.version }
                         .toSet()
@@ -68,10 +68,10 @@
                         .map { it.version }
                         .toSet(),
                 )
-                // Reading everything again gives the same.
+                // A complete read gives the same result.
                 val reread = RecordReplica()
-                reread.apply(all.first())
-                reread.replace(last.values.filterIsInstance<Change.Put>().map { Entry(it.key, it.data, it.version) })
+                reread.apply(allChanges.first())
+                reread.replace(latest.values.filterIsInstance<Change.Put>().map { Entry(it.key, it.data, it.version) })
                 assertEquals(
                     newest,
                     reread
@@ -106,7 +106,7 @@
     }
 
     @Test
-    fun `a malformed record is left alone and its neighbours are read`() {
+    fun `a malformed record is not used and the other records are read`() {
         val spec = Fixtures.job(Random(3), 3)
         val replica = RecordReplica()
         put(replica, "u/job/run-000001", mapOf("spec" to 5L), 1)
--- a/src/test/kotlin/umberslip/records/RecordWatcherTest.kt
+++ b/src/test/kotlin/umberslip/records/RecordWatcherTest.kt
@@ -22,7 +22,7 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** The record watcher goes on reading whatever a read shows and however it fails; see [MalformedRecordsTest]. */
+/** The record watcher continues to read, whatever a read returns and however it fails; see [MalformedRecordsTest]. */
 @OptIn(ExperimentalCoroutinesApi::class)
 class RecordWatcherTest {
     private val scheduler = TestCoroutineScheduler()
@@ -38,32 +38,32 @@
         val answer = scope.async { watcher.confirm() }
         scheduler.advanceTimeBy(2.seconds)
         scheduler.runCurrent()
-        assertTrue(answer.isCompleted, "a confirmation was never answered")
+        assertTrue(answer.isCompleted, "a request for confirmation was never answered")
         return answer.getCompleted()
     }
 
     @Test
-    fun `reads go on after a log row with too few values`() {
+    fun `reads continue after a log row with too few values`() {
         watcher.start()
         assertNotNull(confirm())
         val shortRow = listOf("run-000004", listOf(4L, 3L), listOf<Any>(), listOf<Any>())
-        store.next = {
+        store.nextChanges = {
             Changes(5, listOf(Change.Put(Keys.log(1), mapOf("seq" to 1L, "rows" to listOf(shortRow)), Version(5))))
         }
-        assertNotNull(confirm(), "the rest of the records is readable")
+        assertNotNull(confirm(), "the other records are readable")
         assertNotNull(confirm())
         scope.cancel()
     }
 
     @Test
-    fun `reads go on after one that fails unexpectedly`() {
+    fun `reads continue after one that fails unexpectedly`() {
         watcher.start()
         assertNotNull(confirm())
-        store.next = { error("a programming error") }
+        store.nextChanges = { error("a programming error") }
         assertNull(confirm())
-        store.next = { throw ServiceUnavailableException("out") }
+        store.nextChanges = { throw ServiceUnavailableException("unavailable") }
         assertNull(confirm())
-        store.next = { Changes(6, emptyList()) }
+        store.nextChanges = { Changes(6, emptyList()) }
         assertNotNull(confirm())
         listenerFails = true
         confirm()
@@ -72,9 +72,9 @@
         scope.cancel()
     }
 
-    /** Reads as [next] says; the first read shows no records. */
+    /** Answers reads of changes with [nextChanges]; the complete read returns no records. */
     private class ScriptedStore : KeyValueStore by UnusedKeyValueStore {
-        var next: () -> Changes = { Changes(1, emptyList()) }
+        var nextChanges: () -> Changes = { Changes(1, emptyList()) }
 
         override suspend fun list(
             prefix: String,
@@ -84,6 +84,6 @@
         override suspend fun changes(
             prefix: String,
             after: Long,
-        ): Changes = next()
+        ): Changes = nextChanges()
     }
 }
--- a/src/test/kotlin/umberslip/store/HttpKeyValueStoreTest.kt
+++ b/src/test/kotlin/umberslip/store/HttpKeyValueStoreTest.kt
@@ -15,8 +15,9 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Responses that are documents, but not of the protocol's form. They were thrown as malformed messages past callers
- * that expect failures of the service only, such as the loop of the leader election, which then ended.
+ * Responses that are valid documents, but not in the form that the protocol defines. They caused a
+ * [umberslip.http.MalformedMessageException], which callers do not catch, since they expect only a
+ * [umberslip.http.ServiceException]. The loop of the leader election, for example, ended that way.
  */
 class HttpKeyValueStoreTest {
     private val group = MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory())
@@ -40,7 +41,7 @@
     }
 
     @Test
-    fun `an unreadable response counts as none`() {
+    fun `an unreadable response is treated as no response`() {
         val calls: List<suspend () -> Any?> =
             listOf(
                 { store.get("u/owner") },
--- a/src/test/kotlin/umberslip/store/UnusedKeyValueStore.kt
+++ b/src/test/kotlin/umberslip/store/UnusedKeyValueStore.kt
@@ -3,7 +3,7 @@
 import umberslip.http.ServiceUnavailableException
 import kotlin.time.Duration
 
-/** A key-value store that refuses everything, for tests in which nothing depends on it. */
+/** A key-value store that refuses all requests, for tests that use none of them or override those that they use. */
 object UnusedKeyValueStore : KeyValueStore {
     override suspend fun get(key: String): Entry? = refuse()
 
@@ -30,5 +30,5 @@
 
     override suspend fun endLease(lease: StoreLease): Unit = refuse()
 
-    private fun refuse(): Nothing = throw ServiceUnavailableException("unused")
+    private fun refuse(): Nothing = throw ServiceUnavailableException("this key-value store refuses all requests")
 }
