--- a/src/main/kotlin/umberslip/scheduling/BatchWriter.kt
+++ b/src/main/kotlin/umberslip/scheduling/BatchWriter.kt
@@ -53,7 +53,7 @@
             flushAfter(wait)
             return
         }
-        val maxWrites = minOf(limits.transactionOps, writes.available().coerceAtLeast(MIN_WRITES))
+        val maxWrites = minOf(limits.transactionOps, writes.availableTokens().coerceAtLeast(MIN_WRITES))
         val batch = scheduler.writeAheadLog.nextBatch(maxWrites, scheduler.machines.keys, now) ?: return
         isWriting = true
         lastBatchAt = now
--- a/src/main/kotlin/umberslip/store/RateLimiter.kt
+++ b/src/main/kotlin/umberslip/store/RateLimiter.kt
@@ -76,7 +76,7 @@
     }
 
     /** Returns how many tokens can be taken without waiting; negative while there is a debt. */
-    fun available(): Int {
+    fun availableTokens(): Int {
         refill()
         return tokens.toInt()
     }
