--- a/src/main/kotlin/umberslip/records/BootingMachinesRecord.kt
+++ b/src/main/kotlin/umberslip/records/BootingMachinesRecord.kt
@@ -41,8 +41,8 @@
         private const val REQUESTED_MILLIS = "since_ms"
 
         /**
-         * An upper bound of the size of a record without machines, in its JSON form, to which the key-value store's
-         * limit for values applies.
+         * An upper bound of the JSON size of a record without machines. The key-value store's limit for values applies
+         * to the JSON form.
          */
         private const val FIXED_BYTES = 100
 
--- a/src/main/kotlin/umberslip/records/DependencyState.kt
+++ b/src/main/kotlin/umberslip/records/DependencyState.kt
@@ -3,7 +3,7 @@
 import umberslip.core.JobId
 
 /**
- * Whether a job is cancelled because one of its direct or transitive dependencies is cancelled.
+ * States whether a job is cancelled because one of its direct or transitive dependencies is cancelled.
  *
  * This state is not stored. It is derived from the records and outcomes of the dependencies, so every controller
  * returns the same answer once the cancellation of the dependency has been acknowledged.
--- a/src/main/kotlin/umberslip/records/LogRecord.kt
+++ b/src/main/kotlin/umberslip/records/LogRecord.kt
@@ -61,8 +61,8 @@
         private const val EXIT_FIELDS = 2
 
         /**
-         * An upper bound of the size of the field names and the sequence number in JSON, the form to which the
-         * key-value store's limit for values applies.
+         * An upper bound of the JSON size of the field names and the sequence number. The key-value store's limit for
+         * values applies to the JSON form.
          */
         const val FIXED_BYTES = 60
 
--- a/src/main/kotlin/umberslip/records/MachineSetRecord.kt
+++ b/src/main/kotlin/umberslip/records/MachineSetRecord.kt
@@ -17,8 +17,8 @@
         private const val MACHINES = "hosts"
 
         /**
-         * An upper bound of the size of the field name and its brackets in JSON, the form to which the key-value
-         * store's limit for values applies.
+         * An upper bound of the JSON size of the field name and its brackets. The key-value store's limit for values
+         * applies to the JSON form.
          */
         private const val FIXED_BYTES = 20
 
--- a/src/main/kotlin/umberslip/records/ProgressRecord.kt
+++ b/src/main/kotlin/umberslip/records/ProgressRecord.kt
@@ -64,10 +64,10 @@
         private const val DONE_BITS_PER_DIGIT = 4
         private const val HEX_RADIX = 16
 
-        /** The lower limit for small values, so that a job has few blocks. */
+        /** Keeps the number of a job's blocks low even if values are small. */
         private const val MIN_TASKS_PER_BLOCK = 16
 
-        /** The upper limit for large values, so that writing the progress of one block stays cheap. */
+        /** Keeps writing the progress of one block cheap even if values may be large. */
         private const val MAX_TASKS_PER_BLOCK = 1024
 
         /**
--- a/src/main/kotlin/umberslip/records/RecordWatcher.kt
+++ b/src/main/kotlin/umberslip/records/RecordWatcher.kt
@@ -211,7 +211,7 @@
         /** Between reads that callers wait for: short compared with a heartbeat interval, long compared with a read. */
         val MIN_INTERVAL = 70.milliseconds
 
-        /** Between reads while they fail, to reduce the load on a key-value store in trouble. */
+        /** Between reads while they fail, to reduce the load on a failing key-value store. */
         val FAILURE_INTERVAL = 250.milliseconds
 
         /** Between reads that no caller requested; they pick up what other controllers wrote. */
--- a/src/main/kotlin/umberslip/records/TaskIndex.kt
+++ b/src/main/kotlin/umberslip/records/TaskIndex.kt
@@ -3,8 +3,8 @@
 import umberslip.http.MalformedMessageException
 
 /**
- * Returns a stored task index as a number. An index that no job can have is rejected here, because it would otherwise
- * be used as an array index later, far from the record that it came from.
+ * Checks and returns a stored task index. An index that no job can have is rejected here, because it would otherwise be
+ * used as an array index later, far from the record that it came from.
  *
  * @throws MalformedMessageException naming the [field], if the index is out of range
  */
--- a/src/main/kotlin/umberslip/store/HttpKeyValueStore.kt
+++ b/src/main/kotlin/umberslip/store/HttpKeyValueStore.kt
@@ -147,7 +147,7 @@
         body: Any?,
     ): Reply = decode { http.call(method, path, body, TIMEOUT) }
 
-    /** Treats an unreadable response as none, because the request may have been carried out. */
+    /** Reports an unreadable response as [NoResponseException], because the request may have been carried out. */
     private inline fun <T> decode(read: () -> T): T =
         try {
             read()
--- a/src/main/kotlin/umberslip/store/KeyValueStore.kt
+++ b/src/main/kotlin/umberslip/store/KeyValueStore.kt
@@ -24,7 +24,7 @@
         after: String?,
     ): Page
 
-    /** Returns the changes after revision [after]; null if it is too old, so that the keys must be read again. */
+    /** Returns the changes after revision [after]; null if that is too old and all keys must be read again. */
     suspend fun changes(
         prefix: String,
         after: Long,
