--- a/src/main/kotlin/umberslip/store/HttpKeyValueStore.kt
+++ b/src/main/kotlin/umberslip/store/HttpKeyValueStore.kt
@@ -83,8 +83,8 @@
     ): TransactionResult {
         val body =
             mapOf(
-                KeyValueStoreProtocol.PRECONDITIONS to preconditions.map(KeyValueStoreProtocol::precondition),
-                KeyValueStoreProtocol.WRITES to writes.map(KeyValueStoreProtocol::write),
+                KeyValueStoreProtocol.PRECONDITIONS to preconditions.map(KeyValueStoreProtocol::encodePrecondition),
+                KeyValueStoreProtocol.WRITES to writes.map(KeyValueStoreProtocol::encodeWrite),
             )
         val reply = call(HttpMethod.POST, KeyValueStoreProtocol.TRANSACTION_PATH, body)
         return decode { parseTransactionResult(reply) }
--- a/src/main/kotlin/umberslip/store/KeyValueStoreProtocol.kt
+++ b/src/main/kotlin/umberslip/store/KeyValueStoreProtocol.kt
@@ -46,13 +46,13 @@
     private fun parseVersion(fields: Fields) = Version(fields.long(VERSION))
 
     /** Returns an item of [PRECONDITIONS]. */
-    fun precondition(precondition: Precondition): Map<String, Any?> {
+    fun encodePrecondition(precondition: Precondition): Map<String, Any?> {
         val version = precondition.version.value
         return mapOf(KEY to precondition.key, VERSION to version)
     }
 
     /** Returns an item of [WRITES]. */
-    fun write(write: Write): Map<String, Any?> =
+    fun encodeWrite(write: Write): Map<String, Any?> =
         when (write) {
             is Write.Delete -> mapOf(DELETE to write.key)
             is Write.Put ->
