--- a/src/main/kotlin/umberslip/records/RecordReplica.kt
+++ b/src/main/kotlin/umberslip/records/RecordReplica.kt
@@ -107,7 +107,7 @@
             // run nor treated as removed.
             if (malformed.put(entry.key, entry.version) == null) {
                 log.error(
-                    "malformed record kept but not used: key={} version={} reason={}",
+                    "malformed record neither used nor overwritten: key={} version={} reason={}",
                     entry.key,
                     entry.version.value,
                     e.message,
--- a/src/main/kotlin/umberslip/scheduling/WriteResolution.kt
+++ b/src/main/kotlin/umberslip/scheduling/WriteResolution.kt
@@ -88,7 +88,7 @@
         try {
             LeaderRecord.parse(entry.data) == record
         } catch (e: MalformedMessageException) {
-            log.error("malformed record kept but not used: key={} reason={}", entry.key, e.message)
+            log.error("malformed record neither used nor overwritten: key={} reason={}", entry.key, e.message)
             false
         }
 
