--- a/src/main/kotlin/umberslip/scheduling/DependencyGraph.kt
+++ b/src/main/kotlin/umberslip/scheduling/DependencyGraph.kt
@@ -5,38 +5,42 @@
 import umberslip.records.JobOutcome
 import kotlin.time.Duration
 
-/** What a job inherits from the jobs that depend on it. */
+/** The priority and the deadlines that a job inherits from the jobs that depend on it. */
 data class InheritedPriority(
     val priority: Priority,
-    /** Those that the job has to meet so that the others can meet theirs. */
+    /** The times by which the job has to be done so that the jobs that depend on it can meet their deadlines. */
     val deadlines: List<Duration>,
 )
 
 /**
- * Which unfinished jobs depend on which. A dependency is met only by its recorded outcome: as this leader wrote it in
- * its term, or as it read it. Pure; [jobs] are the unfinished ones. Used on the leader actor's thread only.
+ * The dependencies of the unfinished jobs, which are those in [jobs]. A dependency is met only once the outcome of the
+ * job is recorded, whether this leader wrote it in its own term or read it from the store. Pure. Used on the leader
+ * actor's thread only.
  */
 class DependencyGraph(
     private val jobs: Map<JobId, RunningJob>,
 ) {
-    /** The jobs that are blocked, by the job that blocks them. */
+    /** The blocked jobs, by the ID of the job that they depend on. */
     private val dependents = HashMap<JobId, LinkedHashSet<RunningJob>>()
 
-    /** Known outcomes; they never change. */
+    /** Outcomes that were recorded; a recorded outcome never changes. */
     private val outcomes =
         object : LinkedHashMap<JobId, JobOutcome>() {
             override fun removeEldestEntry(eldest: Map.Entry<JobId, JobOutcome>) = size > MAX_OUTCOMES
         }
     private val unreadOutcomes = LinkedHashSet<JobId>()
 
-    /** Dependencies that are finished or not known: their outcomes are to be read from the store. */
+    /** Dependencies that are not among the unfinished jobs. Their outcomes have to be read from the store. */
     val unread: Set<JobId> get() = unreadOutcomes
 
-    /** Whether the graph has changed since priorities were last inherited. */
+    /** Whether the graph has changed since [inheritPriorities] last computed what jobs inherit. */
     private var isChanged = false
-    private var inheritedBefore: Map<RunningJob, InheritedPriority> = emptyMap()
+    private var lastInherited: Map<RunningJob, InheritedPriority> = emptyMap()
 
-    /** Adds a job, before or after those it depends on. Returns the other jobs that are cancelled by that. */
+    /**
+     * Adds a job; the jobs that it depends on may be added before or after it. Returns the other jobs that are
+     * cancelled because they depend on it.
+     */
     fun added(job: RunningJob): List<RunningJob> {
         val id = job.spec.id
         unreadOutcomes -= id
@@ -54,15 +58,18 @@
             JobOutcome.CANCELLED -> job.dependencyCancelled = true
             null -> {
                 dependents.getOrPut(dependency) { LinkedHashSet() } += job
-                job.pending += dependency
-                val known = jobs[dependency]
-                if (known == null) unreadOutcomes += dependency
-                if (known != null && (known.cancelled || known.dependencyCancelled)) job.dependencyCancelled = true
+                job.pendingDependencies += dependency
+                val parent = jobs[dependency]
+                if (parent == null) unreadOutcomes += dependency
+                if (parent != null && (parent.cancelled || parent.dependencyCancelled)) job.dependencyCancelled = true
             }
         }
     }
 
-    /** The job is cancelled, and so are all that depend on it, directly or through others; returns those. */
+    /**
+     * Marks all jobs that depend on the cancelled [job], directly or indirectly, as cancelled by a dependency. Returns
+     * the jobs that were not marked before.
+     */
     fun cancelDependents(job: RunningJob): List<RunningJob> {
         val cancelled = ArrayList<RunningJob>()
         val open = ArrayDeque(listOf(job))
@@ -74,11 +81,11 @@
                 open += dependent
             }
         }
-        if (cancelled.isNotEmpty() || job.pending.isNotEmpty()) isChanged = true
+        if (cancelled.isNotEmpty() || job.pendingDependencies.isNotEmpty()) isChanged = true
         return cancelled
     }
 
-    /** The recorded [outcome] of a job is known. Returns the jobs that become runnable or are cancelled by it. */
+    /** Takes the recorded [outcome] of a job. Returns the jobs that become runnable or are cancelled by it. */
     fun ended(
         id: JobId,
         outcome: JobOutcome,
@@ -87,7 +94,7 @@
         outcomes[id] = outcome
         val blocked = dependents.remove(id) ?: return emptyList()
         isChanged = true
-        blocked.forEach { it.pending -= id }
+        blocked.forEach { it.pendingDependencies -= id }
         if (outcome == JobOutcome.DONE) return blocked.filter { !it.isBlocked }
         return blocked.filter { !it.dependencyCancelled }.flatMap { job ->
             job.dependencyCancelled = true
@@ -95,9 +102,9 @@
         }
     }
 
-    /** The job is not among the unfinished ones any more; its outcome may become known later. */
+    /** Removes a job that is no longer among the unfinished jobs. Its outcome may become known later. */
     fun removed(job: RunningJob) {
-        for (dependency in job.pending) {
+        for (dependency in job.pendingDependencies) {
             val blocked = dependents[dependency] ?: continue
             blocked -= job
             if (blocked.isEmpty()) {
@@ -105,22 +112,23 @@
                 unreadOutcomes -= dependency
             }
         }
-        if (job.pending.isNotEmpty()) isChanged = true
+        if (job.pendingDependencies.isNotEmpty()) isChanged = true
         if (job.spec.id in dependents) unreadOutcomes += job.spec.id
     }
 
     /**
-     * Passes priorities and deadlines on to dependencies, a deadline less the run times between. Returns the jobs that
-     * inherit something else than before; computed only when the graph has changed.
+     * Passes priorities and deadlines on from jobs to their dependencies. Each job's expected run time is subtracted
+     * from the deadlines that it passes on. Returns the jobs whose inherited priority or deadlines have changed since
+     * the last call; nothing is computed if the graph has not changed.
      */
     fun inheritPriorities(): Map<RunningJob, InheritedPriority> {
         if (!isChanged) return emptyMap()
         isChanged = false
-        val before = inheritedBefore
+        val previous = lastInherited
         val inherited = computeInherited()
-        inheritedBefore = inherited
-        return (before.keys + inherited.keys)
-            .filter { jobs[it.spec.id] === it && before[it] != inherited[it] }
+        lastInherited = inherited
+        return (previous.keys + inherited.keys)
+            .filter { jobs[it.spec.id] === it && previous[it] != inherited[it] }
             .associateWith { inherited[it] ?: nothingInherited(it) }
     }
 
@@ -132,11 +140,11 @@
             if (job.dependencyCancelled || job.cancelled) continue
             val own = inherited[job] ?: nothingInherited(job)
             val deadlines = (job.deadlines + own.deadlines).map { it - job.expectedRunTime }
-            for (id in job.pending) {
+            for (id in job.pendingDependencies) {
                 val dependency = jobs[id] ?: continue
-                val known = inherited[dependency] ?: nothingInherited(dependency)
-                val merged = merge(known, own.priority, deadlines)
-                if (merged == known) continue
+                val current = inherited[dependency] ?: nothingInherited(dependency)
+                val merged = merge(current, own.priority, deadlines)
+                if (merged == current) continue
                 inherited[dependency] = merged
                 open.addLast(dependency)
             }
@@ -147,20 +155,20 @@
     private fun nothingInherited(job: RunningJob) = InheritedPriority(job.spec.priority, emptyList())
 
     private fun merge(
-        known: InheritedPriority,
+        current: InheritedPriority,
         priority: Priority,
         deadlines: List<Duration>,
     ): InheritedPriority =
         InheritedPriority(
-            minOf(known.priority, priority),
-            (known.deadlines + deadlines).distinct().sorted().take(MAX_DEADLINES),
+            minOf(current.priority, priority),
+            (current.deadlines + deadlines).distinct().sorted().take(MAX_DEADLINES),
         )
 
     private companion object {
-        /** Bounds the memory; an outcome that was dropped is read again when a job depends on it. */
+        /** Bounds the memory. An outcome that was evicted is read again when a new job depends on it. */
         const val MAX_OUTCOMES = 4_000
 
-        /** A job's position goes by its earliest deadlines, and long chains would collect very many. */
+        /** Only the earliest deadlines decide a job's position, and long chains would accumulate very many. */
         const val MAX_DEADLINES = 4
     }
 }
--- a/src/main/kotlin/umberslip/scheduling/DispatchRounds.kt
+++ b/src/main/kotlin/umberslip/scheduling/DispatchRounds.kt
@@ -5,26 +5,26 @@
 import umberslip.core.Shape
 import kotlin.time.Duration
 
-/** What a machine offers in a dispatch round, until the next task is placed on it. */
+/** The free capacity of a machine at one step of a dispatch round; each placement makes it out of date. */
 class FreeCapacity(
     val machine: Machine,
     val resources: Resources,
-    /** How long the machine stays; infinite unless it is drained. */
+    /** How long the machine stays available; infinite unless it is draining. */
     val availableFor: Duration,
     val now: Duration,
 ) {
-    /** What is left once a task was placed on the machine. */
+    /** Returns the capacity that is left after a task was placed; null if the machine's resources are not known. */
     fun afterPlacement(): FreeCapacity? = machine.freeResources()?.let { FreeCapacity(machine, it, availableFor, now) }
 }
 
-/** Fills a machine's free resources with tasks: the teams take turns, and starving jobs get their share of them. */
+/** Fills a machine's free resources with tasks. Teams take turns, and starving jobs get a share of the placements. */
 internal class DispatchRounds(
     private val teams: Map<String, Dispatcher>,
     private val starvationGuard: StarvationGuard,
     private val assignments: AssignmentLifecycle,
     private val gangAssembly: GangAssembly,
 ) {
-    /** Places tasks on [machine]; false if [isOutOfTime] ended the round before all was placed that may be. */
+    /** Places tasks on [machine]. Returns false if [isOutOfTime] ended the round while more tasks might be placed. */
     fun run(
         machine: Machine,
         now: Duration,
@@ -39,16 +39,16 @@
             val index = job.nextTask()
             if (index != null) {
                 place(job, index, machine, now)
-                starvationGuard.dispatched(job, outOfTurn = job === starving, now)
+                starvationGuard.recordDispatch(job, outOfTurn = job === starving, now)
                 free = free.afterPlacement() ?: return true
             }
             if (isOutOfTime()) return false
-            refresh(candidates, job, free)
+            updateCandidates(candidates, job, free)
         }
         return true
     }
 
-    /** Null if nothing may be placed on the machine now, whatever waits. */
+    /** Returns the free capacity of the machine; null if nothing may be placed there now, whichever jobs wait. */
     private fun freeCapacity(
         machine: Machine,
         now: Duration,
@@ -60,28 +60,31 @@
         return FreeCapacity(machine, resources, availableFor, now)
     }
 
-    /** Whether something runs there that the records do not know, so that the free resources are not known either. */
+    /** Whether the machine reports a live attempt that is not assigned to it; its free resources are unknown then. */
     private fun hasUnknownTasks(machine: Machine): Boolean =
         machine.reported.values.any {
             it.status != TaskState.EXITED && machine.assignments[it.task]?.attempt != it.attempt
         }
 
-    private fun starvingJob(free: FreeCapacity): RunningJob? = starvationGuard.next(free.now) { mayPlace(it, free) }
+    private fun starvingJob(free: FreeCapacity): RunningJob? = starvationGuard.nextJob(free.now) { mayPlace(it, free) }
 
     private fun mayPlace(
         job: RunningJob,
         free: FreeCapacity,
     ): Boolean = teams[job.spec.team]?.mayPlace(job, free) == true
 
-    /** Only the team of the placed job can have another first choice; those of the others may no longer fit. */
-    private fun refresh(
+    /**
+     * Selects new candidates after a task of [placedJob] was placed: for the team of that job, since its first choice
+     * may have changed, and for teams whose candidate no longer fits.
+     */
+    private fun updateCandidates(
         candidates: MutableMap<Dispatcher, RunningJob>,
-        placed: RunningJob,
+        placedJob: RunningJob,
         free: FreeCapacity,
     ) {
         for (dispatcher in candidates.keys.toList()) {
             val stillFits = free.resources.covers(candidates.getValue(dispatcher).resources)
-            if (dispatcher.team.name != placed.spec.team && stillFits) continue
+            if (dispatcher.team.name != placedJob.spec.team && stillFits) continue
             val next = dispatcher.nextJob(free)
             if (next == null) candidates.remove(dispatcher) else candidates[dispatcher] = next
         }
--- a/src/main/kotlin/umberslip/scheduling/Dispatcher.kt
+++ b/src/main/kotlin/umberslip/scheduling/Dispatcher.kt
@@ -10,45 +10,45 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * A team's dispatcher: orders its waiting jobs and decides which of them a machine gets next. The leader has one for
- * each team. Used on the leader actor's thread only.
+ * Orders the waiting jobs of one team and selects the job that a machine gets next. The leader has one dispatcher per
+ * team. Used on the leader actor's thread only.
  */
 class Dispatcher(
     val team: TeamSettings,
-    /** Images with which a task of any team was placed on some machine; grows as tasks are placed. */
+    /** The images of all tasks, of any team, that were placed on a machine. The set grows as tasks are placed. */
     private val cachedImages: Set<String> = emptySet(),
 ) {
     val quota = TeamQuota(team)
 
-    /** Jobs with tasks to place, in order; others are not looked at for every heartbeat. */
+    /** Jobs with tasks to place, in dispatch order. Heartbeats do not iterate over any other jobs. */
     private val queue = TreeSet(QUEUE_ORDER)
     val waiting: Collection<RunningJob> get() = queue
 
     /** The running credit of the smooth weighted round-robin, in processors. */
     var credit = 0.0
 
-    /** How often a job was considered for a machine's free resources: the work that heartbeats cost. */
+    /** How often a job was checked against a machine's free resources; a measure of the cost of heartbeats. */
     var jobsConsidered = 0L
         private set
 
-    /** No waiting task takes less of any resource; null until it is computed again. */
+    /** For each resource, the smallest amount that a job in the queue requests per task; null until recomputed. */
     private var smallestRequest: Resources? = null
 
-    private var firstInOrder: RunningJob? = null
-    private var firstInOrderSince: Duration = Duration.ZERO
+    private var head: RunningJob? = null
+    private var headSince: Duration = Duration.ZERO
 
-    /** Puts the job into the queue, or takes it out, by whether it has tasks to place. */
+    /** Adds the job to the queue if it has tasks to place; otherwise removes it. */
     fun refresh(job: RunningJob) {
         val isChanged = if (job.waiting > 0) queue.add(job) else queue.remove(job)
         if (isChanged) smallestRequest = null
     }
 
-    /** The job has ended. */
+    /** Removes a job that has ended. */
     fun remove(job: RunningJob) {
         if (queue.remove(job)) smallestRequest = null
     }
 
-    /** Changes something that the job's position in the queue depends on. */
+    /** Applies [change], which may alter the job's position in the queue, and keeps the queue in order. */
     fun reinsert(
         job: RunningJob,
         change: () -> Unit,
@@ -58,27 +58,31 @@
         if (isQueued) queue.add(job)
     }
 
-    /** Moves jobs in the queue whose next deadline has become unreachable with time. */
+    /** Moves the jobs in the queue whose next reachable deadline has changed with time. */
     fun reorder(now: Duration) {
         for (job in queue.filter { it.nextReachableDeadline != it.nextReachableDeadlineAt(now) }) {
             reinsert(job) { job.nextReachableDeadline = job.nextReachableDeadlineAt(now) }
         }
     }
 
-    /** The job that would be placed first, if it has been so without a placement since before [since]; else null. */
-    fun blockedHeadSince(
+    /**
+     * Returns the first job in the queue that needs only resources, if it has been the first one and none of its tasks
+     * has been placed since before [since]; otherwise null.
+     */
+    fun headBlockedSince(
         since: Duration,
         now: Duration,
     ): RunningJob? {
-        val first = queue.firstOrNull { isPlaceableWithResources(it, now) }
-        if (first !== firstInOrder) {
-            firstInOrder = first
-            firstInOrderSince = now
+        val currentHead = queue.firstOrNull { needsOnlyResources(it, now) }
+        if (currentHead !== head) {
+            head = currentHead
+            headSince = now
         }
-        return first?.takeIf { firstInOrderSince < since && it.lastPlaced < since }
+        return currentHead?.takeIf { headSince < since && it.lastPlaced < since }
     }
 
-    private fun isPlaceableWithResources(
+    /** Whether only a lack of resources, or a constraint on the machine, can prevent the placement of a task. */
+    private fun needsOnlyResources(
         job: RunningJob,
         now: Duration,
     ): Boolean =
@@ -87,31 +91,33 @@
             job.retryAfter <= now &&
             quota.isWithinLimit(job.resources)
 
-    /** The first in order has had its chance; it counts as blocked only after as long again. */
+    /** Restarts the wait after which the head of the queue counts as blocked, since a reservation ended unused. */
     fun restartHeadTimer(now: Duration) {
-        firstInOrderSince = now
+        headSince = now
     }
 
     /**
-     * The first job, in order, that may be placed on [free]; but while that one has time, rather the first of its
-     * priority whose image the machine has. Resources allocated to a task that waits for a fetch do nothing, and under
-     * load every machine would fetch every image for one or two tasks at a time.
+     * Returns the first job in queue order that may be placed on [free], or null if there is none.
+     *
+     * If the machine lacks that job's image and the job has time to wait, the first job of the same priority whose
+     * image the machine has takes precedence. Resources allocated to a task are idle until its image is fetched, and
+     * under load every machine would otherwise fetch every image for one or two tasks at a time.
      */
     fun nextJob(free: FreeCapacity): RunningJob? {
         if (queue.isEmpty()) return null
-        // Most heartbeats come from machines that are full; they must not cost a look at every waiting job.
+        // Most heartbeats come from full machines; iterating over every waiting job for them would be too expensive.
         if (!free.resources.covers(smallestRequest())) return null
         val images = free.machine.images
-        var first: RunningJob? = null
+        var firstWithoutImage: RunningJob? = null
         for (job in queue) {
-            if (first != null && job.priority != first.priority) break
+            if (firstWithoutImage != null && job.priority != firstWithoutImage.priority) break
             jobsConsidered++
             val hasImage = job.spec.image in images
-            if ((first != null && !hasImage) || !mayPlace(job, free)) continue
+            if ((firstWithoutImage != null && !hasImage) || !mayPlace(job, free)) continue
             if (hasImage || !mayWaitForImage(job, free.now)) return job
-            first = job
+            firstWithoutImage = job
         }
-        return first
+        return firstWithoutImage
     }
 
     private fun smallestRequest(): Resources =
@@ -122,12 +128,12 @@
                 queue.minOf { it.resources.memoryGb },
             ).also { smallestRequest = it }
 
-    /** Its deadline leaves time to wait for a machine with its image, and others did not go first for long. */
+    /** Whether the job's deadline leaves time to wait for a machine with its image, and it has not waited too long. */
     private fun mayWaitForImage(
         job: RunningJob,
         now: Duration,
     ): Boolean =
-        now - job.lastPlaced < MAX_PASSED_OVER &&
+        now - job.lastPlaced < MAX_TIME_PASSED_OVER &&
             job.nextReachableDeadline - now - job.expectedRunTime > MIN_SLACK_TO_WAIT
 
     /** Whether a task of this team's [job] may be placed on [free] now. */
@@ -148,10 +154,10 @@
     ): Boolean {
         if (!free.resources.covers(job.resources)) return false
         if (free.machine.reservation?.admits(job, quota) == false) return false
-        return free.machine.fitsInHeartbeat(job.spec) && endsBeforeTermination(job, free)
+        return free.machine.fitsInHeartbeat(job.spec) && isAllowedWhileDraining(job, free)
     }
 
-    /** Whether the job itself allows another task, wherever that is placed. */
+    /** Whether the state of the job allows another task to start, on whichever machine. */
     private fun mayStartNow(
         job: RunningJob,
         now: Duration,
@@ -162,31 +168,36 @@
     }
 
     /**
-     * On a draining machine only what ends while it stays anyway, without a fetch, is placed. But the provisioning plan
-     * may count on a machine that cannot take the job just now; a job does not wait for ever beside one that can.
+     * Whether the job may be placed as far as draining is concerned. A draining machine takes only tasks that need no
+     * image fetch and end while the machine stays for its running tasks anyway.
+     *
+     * A job without a placement for [MAX_WAIT_FOR_USABLE_MACHINE] may use any draining machine. The provisioning plan
+     * may count on another machine that cannot take the job at present, and without this exception the job would wait
+     * indefinitely although the draining machine can run it.
      */
-    private fun endsBeforeTermination(
+    private fun isAllowedWhileDraining(
         job: RunningJob,
         free: FreeCapacity,
     ): Boolean {
-        if (free.availableFor.isInfinite() || free.now - job.lastPlaced >= MAX_WAIT_BESIDE_DRAINING) return true
+        if (free.availableFor.isInfinite() || free.now - job.lastPlaced >= MAX_WAIT_FOR_USABLE_MACHINE) return true
         return job.expectedRunTime <= free.availableFor && job.spec.image in free.machine.images
     }
 
-    /** Whether another machine is likely to start the job sooner than this one, which does not have its image. */
+    /** Whether another machine is likely to start the job sooner than [machine], which lacks the job's image. */
     private fun shouldWaitForImage(
         job: RunningJob,
         machine: Machine,
         now: Duration,
     ): Boolean {
         if (isBusyFetching(machine, job)) return true
-        // A fetch takes longer than until the next machine that has the image is free.
-        return now - job.waitingSince < IMAGE_WAIT && job.spec.image in cachedImages
+        // A machine that has the image is expected to become free sooner than this machine could fetch the image.
+        return now - job.waitingSince < MAX_IMAGE_WAIT && job.spec.image in cachedImages
     }
 
     /**
-     * Long fetches share the machine's bandwidth or wait for one another: resources that would wait for the second are
-     * better left to what need not. Urgent work is started wherever it can be.
+     * Whether other fetches on the machine would delay a long fetch of the job's image. Long fetches share the
+     * machine's bandwidth or wait for one another, so the resources are left to tasks that need not wait for a second
+     * fetch. Urgent work is exempt: it may start on any machine.
      */
     private fun isBusyFetching(
         machine: Machine,
@@ -198,8 +209,8 @@
             machine.fetchSeconds(job.spec) >= LONG_FETCH_SECONDS
 
     /**
-     * One gang at a time is assembled, and none while tasks of its former attempt are still on machines: they have
-     * another attempt number.
+     * Whether resources may be reserved for the gang. A team assembles one gang at a time. A gang is not assembled
+     * while tasks of its former attempt are still on machines, because they have another attempt number.
      */
     private fun mayAssemble(
         job: RunningJob,
@@ -222,22 +233,22 @@
     private companion object {
         val QUEUE_ORDER = compareBy<RunningJob>({ it.priority }, { it.nextReachableDeadline }, { it.spec.id.value })
 
-        /** A machine that failed a job's task gets no more of that job for so long; others have time to try it. */
+        /** How long a machine that failed a task of a job gets no tasks of that job; other machines can try them. */
         val FAILURE_AVOIDANCE = 20.seconds
 
-        /** What found no machine for so long goes to draining ones, too. */
-        val MAX_WAIT_BESIDE_DRAINING = 60.seconds
+        /** A job without a placement for this long may be placed on draining machines, too. */
+        val MAX_WAIT_FOR_USABLE_MACHINE = 60.seconds
 
-        /** With less time than this left until its deadline, a job waits for no image. */
+        /** A job with less slack than this before its deadline does not wait for a machine with its image. */
         val MIN_SLACK_TO_WAIT = 20.seconds
 
-        /** A job waits for no image either once others went first for so long. */
-        val MAX_PASSED_OVER = 8.seconds
+        /** Jobs whose image is present are preferred to a job for at most this long after its last placement. */
+        val MAX_TIME_PASSED_OVER = 8.seconds
 
         /** A shorter fetch ends before the machine's heartbeats show it. */
         const val LONG_FETCH_SECONDS = 4.0
 
-        /** New work waits for a machine that has its image for this long. */
-        val IMAGE_WAIT = 1500.milliseconds
+        /** How long new work waits for a machine that has its image. */
+        val MAX_IMAGE_WAIT = 1500.milliseconds
     }
 }
--- a/src/main/kotlin/umberslip/scheduling/FairShare.kt
+++ b/src/main/kotlin/umberslip/scheduling/FairShare.kt
@@ -3,9 +3,12 @@
 import umberslip.core.Priority
 
 /**
- * What a team may claim for its work of one priority: its guarantee, and an equal part of what remains of the cluster
- * after all guaranteed work and the other teams' work of higher priority, beside the other teams that want more, too.
- * The team's own work of higher priority is not deducted: a team's tasks make room for one another. Pure.
+ * Computes how many processors a team may claim for its work of one priority.
+ *
+ * The team may claim what its work requests within its guarantee. All guaranteed work and the other teams' work of
+ * higher priority are deducted from the cluster's capacity. The team and the other teams that request more than that
+ * share the rest equally. The team's own work of higher priority is not deducted, since tasks of one team free
+ * resources for one another. Pure.
  */
 internal class FairShare(
     private val scheduler: SchedulerState,
@@ -16,36 +19,36 @@
             .filter { it.isUsable }
             .sumOf { it.capacity?.cpus ?: 0.0 }
     private val claims = scheduler.teams.values.associateWith(::claimOf)
-    private val claimedFirstCpus = claims.values.sumOf { it.firstCpus }
-    private val claimants = claims.values.count { it.wantsMore }
+    private val totalPrioritizedCpus = claims.values.sumOf { it.prioritizedCpus }
+    private val sharingTeams = claims.values.count { it.wantsShare }
 
-    /** What a team's work wants of the cluster, in processors. */
+    /** The processors that a team's work requests. */
     private class Claim(
         val guaranteedCpus: Double,
-        /** What comes before that which teams share: guaranteed work and work of higher priority. */
-        val firstCpus: Double,
-        /** Whether it wants more than that. */
-        val wantsMore: Boolean,
+        /** The larger of guaranteed work and work of higher priority; deducted from what the other teams share. */
+        val prioritizedCpus: Double,
+        /** Whether the team's work requests more than [prioritizedCpus], which gives it a part of the rest. */
+        val wantsShare: Boolean,
     )
 
-    /** Processors that [team] may claim, those of its guarantee included. */
+    /** Returns the processors that [team] may claim, including those of its guarantee. */
     fun cpusOf(team: Dispatcher): Double {
         val claim = claims[team] ?: return 0.0
-        val firstOfOthers = claimedFirstCpus - claim.firstCpus
-        val sharedCpus = (capacityCpus - firstOfOthers - claim.guaranteedCpus).coerceAtLeast(0.0)
-        val otherClaimants = claimants - if (claim.wantsMore) 1 else 0
-        val share = claim.guaranteedCpus + sharedCpus / (otherClaimants + 1)
+        val prioritizedCpusOfOthers = totalPrioritizedCpus - claim.prioritizedCpus
+        val sharedCpus = (capacityCpus - prioritizedCpusOfOthers - claim.guaranteedCpus).coerceAtLeast(0.0)
+        val otherSharingTeams = sharingTeams - if (claim.wantsShare) 1 else 0
+        val share = claim.guaranteedCpus + sharedCpus / (otherSharingTeams + 1)
         return team.quota.maxCpus?.let { minOf(share, it) } ?: share
     }
 
     private fun claimOf(team: Dispatcher): Claim {
         val jobs = scheduler.jobs.values.filter { it.spec.team == team.team.name }
-        val wantedCpus = jobs.sumOf(::wantedCpus)
-        val guaranteedCpus = minOf(wantedCpus, team.quota.guaranteedCpus)
-        val higherPriorityCpus = jobs.filter { it.priority < priority }.sumOf(::wantedCpus)
-        val firstCpus = maxOf(guaranteedCpus, higherPriorityCpus)
-        return Claim(guaranteedCpus, firstCpus, wantedCpus > firstCpus)
+        val requestedCpus = jobs.sumOf(::requestedCpus)
+        val guaranteedCpus = minOf(requestedCpus, team.quota.guaranteedCpus)
+        val higherPriorityCpus = jobs.filter { it.priority < priority }.sumOf(::requestedCpus)
+        val prioritizedCpus = maxOf(guaranteedCpus, higherPriorityCpus)
+        return Claim(guaranteedCpus, prioritizedCpus, requestedCpus > prioritizedCpus)
     }
 
-    private fun wantedCpus(job: RunningJob): Double = (job.assigned.size + job.waiting) * job.resources.cpus
+    private fun requestedCpus(job: RunningJob): Double = (job.assigned.size + job.waiting) * job.resources.cpus
 }
--- a/src/main/kotlin/umberslip/scheduling/GangAssembly.kt
+++ b/src/main/kotlin/umberslip/scheduling/GangAssembly.kt
@@ -4,17 +4,17 @@
 import kotlin.time.Duration
 
 /**
- * Collects the resources of a gang machine by machine and starts it as a whole, under one attempt number. A gang that
- * is incomplete at its assembly timeout gives its resources up, and may take twice as long at the next try.
+ * Reserves resources for a gang machine by machine and starts all its tasks together, under one attempt number. A gang
+ * that is incomplete at its assembly timeout releases its resources, and the timeout of its next assembly is doubled.
  */
 internal class GangAssembly(
     private val teams: Map<String, Dispatcher>,
     private val assignments: AssignmentLifecycle,
-    private val firstTimeout: Duration,
+    private val initialTimeout: Duration,
 ) {
     private val log = LoggerFactory.getLogger("umberslip.scheduling")
 
-    /** Holds resources on [machine] for a task of the gang, and starts the gang if it is the last one. */
+    /** Reserves resources on [machine] for a task of the gang, and starts the gang if this completes it. */
     fun reserve(
         assignment: Assignment,
         machine: Machine,
@@ -37,10 +37,10 @@
             assignments.start(assignment, attempt, now)
         }
         job.assemblingSince = null
-        job.assemblyTimeout = firstTimeout
+        job.assemblyTimeout = initialTimeout
     }
 
-    /** Ends each assembly that has reached its timeout; called on every tick. */
+    /** Ends every assembly that has reached its timeout; called on every tick. */
     fun enforceTimeouts(now: Duration) {
         val assembling = teams.values.flatMap { team -> team.waiting.filter { it.assemblingSince != null } }
         for (job in assembling) enforceTimeout(job, now)
--- a/src/main/kotlin/umberslip/scheduling/JobObjectives.kt
+++ b/src/main/kotlin/umberslip/scheduling/JobObjectives.kt
@@ -6,26 +6,30 @@
 import kotlin.time.Duration.Companion.hours
 import kotlin.time.Duration.Companion.seconds
 
-/** By when jobs should be done, by the operators' service-level objectives and the jobs' own deadlines. Pure. */
+/** Computes by when jobs should be done, from the operators' service-level objectives and the jobs' deadlines. Pure. */
 class JobObjectives(
     private val objectives: List<Objective>,
 ) {
     /**
-     * The objective deadlines of a job, the earliest first; at least one. The objectives of its class count from
-     * [runnableSince]; its own deadline counts from [submittedAt], however long it was blocked by dependencies.
+     * Returns the objective deadlines of a job, the earliest first; there is at least one. The objectives of the job's
+     * class count from [runnableSince]. The job's own deadline counts from [submittedAt], even if dependencies blocked
+     * the job for some of that time.
      */
     fun objectiveDeadlines(
         spec: JobSpec,
         submittedAt: Duration,
         runnableSince: Duration,
     ): List<Duration> {
-        val ownDeadlines = deadlines(spec, submittedAt)
-        val ofClass = objectives.mapNotNull { deadlineOf(it, spec, runnableSince) }
-        val named = if (deadlineFactors(spec).isEmpty()) ofClass else ofClass + ownDeadlines
-        return named.ifEmpty { ownDeadlines }.ifEmpty { listOf(runnableSince + DEFAULT_DEADLINE) }.sorted()
+        val jobDeadlines = deadlines(spec, submittedAt)
+        val classDeadlines = objectives.mapNotNull { deadlineOf(it, spec, runnableSince) }
+        val fromObjectives = if (deadlineFactors(spec).isEmpty()) classDeadlines else classDeadlines + jobDeadlines
+        return fromObjectives.ifEmpty { jobDeadlines }.ifEmpty { listOf(runnableSince + DEFAULT_DEADLINE) }.sorted()
     }
 
-    /** The job's own deadline, once for each objective of its class that stretches it by a factor. */
+    /**
+     * Returns the job's own deadline, multiplied by the factor of each deadline objective of its class, or as it is if
+     * there is no such objective. Empty if the job has no deadline.
+     */
     fun deadlines(
         spec: JobSpec,
         submittedAt: Duration,
@@ -42,7 +46,7 @@
         when (objective) {
             is Objective.Finished ->
                 (runnableSince + objective.within).takeIf { objective.jobClass == spec.jobClass }
-            // A task that starts in time ends in time if it runs as long as expected.
+            // The expected run time is added, since the objective applies to the start and the result to the end.
             is Objective.Started ->
                 (runnableSince + objective.within + spec.expectedSeconds.seconds)
                     .takeIf { objective.jobClass == spec.jobClass }
@@ -55,7 +59,7 @@
     }
 
     private companion object {
-        /** For jobs without any: they come after those that have one, in the order of their submission. */
+        /** Applies to jobs without a deadline. They come after those that have one, as they become runnable. */
         val DEFAULT_DEADLINE = 1.hours
     }
 }
--- a/src/main/kotlin/umberslip/scheduling/LargeJobAdmission.kt
+++ b/src/main/kotlin/umberslip/scheduling/LargeJobAdmission.kt
@@ -10,46 +10,50 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Decides which starving jobs with large tasks machines are reserved for.
+ * Decides for which starving jobs with large tasks machines are reserved, and when.
  *
- * That is as late as a job can still begin within [BEGIN_WITHIN], since most begin in time by their order. And it is
- * only a job that fits, as a whole, into its team's [FairShare]: keeping room for more would take it from guaranteed
- * work, from other teams and from their work of higher priority; and such a job can't begin with all its tasks in any
- * case, since the share never holds them together. Pure: time is an input.
+ * Machines are reserved as late as the job can still start all its tasks within [START_WITHIN], since most jobs start
+ * in time by their position in the queue. The job must also fit, as a whole, into its team's [FairShare]. Reservations
+ * for a larger job would take resources from guaranteed work, from other teams and from their work of higher priority.
+ * Such a job cannot have all its tasks running in any case, since the share never holds them together.
+ * Pure: time is an input.
  */
 internal class LargeJobAdmission(
     private val scheduler: SchedulerState,
 ) {
-    /** What keeps each starving job with large tasks back, the longest runnable first. */
-    fun waits(
+    /** Returns why each starving job with large tasks waits. The job that has been runnable longest comes first. */
+    fun waitReasons(
         usable: List<Machine>,
         maxReservations: Int,
         now: Duration,
     ): Map<RunningJob, LargeJobWait> {
         val large = largeJobs(usable)
-        val (starving, others) = large.partition { isStarving(it, now) }
+        val (starving, rest) = large.partition { isStarving(it, now) }
         if (starving.isEmpty()) return emptyMap()
         val claimedCpus = HashMap<String, Double>()
-        for (job in others.filter { it.waiting == 0 }) claimedCpus.merge(job.spec.team, wantedCpus(job), Double::plus)
+        for (job in rest.filter { it.waiting == 0 }) claimedCpus.merge(job.spec.team, requestedCpus(job), Double::plus)
         val fairShares = HashMap<Priority, FairShare>()
         val waits = LinkedHashMap<RunningJob, LargeJobWait>()
-        var tasksBefore = 0
+        var admittedTasks = 0
         for (job in starving) {
             val team = scheduler.teams[job.spec.team] ?: continue
-            val claimed = (claimedCpus[job.spec.team] ?: 0.0) + wantedCpus(job)
+            val claimed = (claimedCpus[job.spec.team] ?: 0.0) + requestedCpus(job)
             val fairShare = fairShares.getOrPut(job.priority) { FairShare(scheduler, job.priority) }
             val obstacle = obstacle(job, team, claimed <= fairShare.cpusOf(team), now)
             if (obstacle == null) {
                 claimedCpus[job.spec.team] = claimed
-                tasksBefore += job.waiting
+                admittedTasks += job.waiting
             }
-            val isDue = isDue(job, tasksBefore, maxReservations, now)
+            val isDue = isDue(job, admittedTasks, maxReservations, now)
             waits[job] = obstacle ?: if (isDue) WAITS_FOR_RESERVATION else TIME_LEFT
         }
         return waits
     }
 
-    /** Jobs whose tasks need as much as several of those that run now, the longest runnable first. */
+    /**
+     * Returns the jobs, except gangs, whose tasks request at least [LARGE_FACTOR] times the mean of the tasks on usable
+     * machines. The job that has been runnable longest comes first.
+     */
     private fun largeJobs(usable: List<Machine>): List<RunningJob> {
         val meanRequest = meanRequest(usable) ?: return emptyList()
         return scheduler.jobs.values
@@ -79,9 +83,9 @@
         now: Duration,
     ): Boolean = job.waiting > 0 && now - job.runnableSince >= STARVING_AFTER
 
-    private fun wantedCpus(job: RunningJob): Double = (job.waiting + job.assigned.size) * job.resources.cpus
+    private fun requestedCpus(job: RunningJob): Double = (job.waiting + job.assigned.size) * job.resources.cpus
 
-    /** What keeps the job back whether or not machines are reserved; null if nothing does. */
+    /** Returns what keeps the job from starting even if machines are reserved for it; null if nothing does. */
     private fun obstacle(
         job: RunningJob,
         team: Dispatcher,
@@ -96,34 +100,40 @@
             else -> null
         }
 
-    /** Whether [tasks], its own and those of the jobs before it, need all the time that it has left to begin. */
+    /**
+     * Whether all the time that is left for the job to start is needed to free machines for [admittedTasks]: its own
+     * tasks and those of the jobs admitted before it.
+     */
     private fun isDue(
         job: RunningJob,
-        tasks: Int,
+        admittedTasks: Int,
         maxReservations: Int,
         now: Duration,
     ): Boolean {
-        val rounds = (tasks + maxReservations - 1) / maxReservations
-        return now >= job.runnableSince + BEGIN_WITHIN - EXPECTED_CLEARING * (rounds + SPARE_ROUNDS)
+        val rounds = (admittedTasks + maxReservations - 1) / maxReservations
+        return now >= job.runnableSince + START_WITHIN - EXPECTED_RESERVATION_TIME * (rounds + SPARE_ROUNDS)
     }
 
     companion object {
-        /** A reservation that takes longer met tasks that run too long; room further away is not waited for. */
+        /**
+         * A reservation that lasts longer is held up by tasks that run too long. Machines that are expected to have
+         * room only after this time are not reserved.
+         */
         val RESERVATION_TIMEOUT = 60.seconds
 
-        /** How long a reservation is expected to last: half of the longest that is waited for. */
-        private val EXPECTED_CLEARING = RESERVATION_TIMEOUT / 2
+        /** How long a reservation is expected to last: half of its timeout. */
+        private val EXPECTED_RESERVATION_TIME = RESERVATION_TIMEOUT / 2
 
-        /** For reservations that time out, machines that are lost, and the start itself. */
+        /** Extra time, in rounds, for reservations that time out, machines that are lost, and the start itself. */
         private const val SPARE_ROUNDS = 1
 
-        /** The users' aim for the largest jobs. */
-        private val BEGIN_WITHIN = 4.minutes
+        /** The users' objective for the start of the largest jobs. */
+        private val START_WITHIN = 4.minutes
 
-        /** From then on it is logged what a job waits for, and machines may be reserved. */
+        /** After this time, the reason why a job waits is logged and machines may be reserved for it. */
         private val STARVING_AFTER = 90.seconds
 
-        /** A task that takes as much as so many others needs several of them to end before it finds room. */
+        /** A task of at least this many times the mean request fits only after several other tasks have ended. */
         private const val LARGE_FACTOR = 2.0
     }
 }
--- a/src/main/kotlin/umberslip/scheduling/LargeJobWait.kt
+++ b/src/main/kotlin/umberslip/scheduling/LargeJobWait.kt
@@ -3,28 +3,31 @@
 import org.slf4j.LoggerFactory
 import kotlin.time.Duration
 
-/** What keeps a starving job with large tasks from being placed. */
+/** The reason why a starving job with large tasks waits. */
 enum class LargeJobWait {
     QUARANTINED,
     RETRY_DELAYED,
     TEAM_AT_LIMIT,
 
-    /** It may still begin in time by its order; machines are reserved later if it does not. */
+    /** The job may still start in time by its position in the queue. Machines are reserved later if it does not. */
     TIME_LEFT,
 
-    /** All its tasks together are more than its team may claim, so nothing is reserved for it. */
+    /** All tasks of the job together exceed what its team may claim, so no machine is reserved for it. */
     BEYOND_FAIR_SHARE,
 
-    /** Machines are reserved for it, or will be as others are done with theirs. */
+    /** Machines are reserved for the job, or will be when reservations for other jobs end. */
     WAITS_FOR_RESERVATION,
 }
 
-/** Logs for each starving job with large tasks what it waits for, once whenever that changes. */
+/** Logs why each starving job with large tasks waits, whenever the reason changes. */
 internal class LargeJobWaitLog {
     private val log = LoggerFactory.getLogger("umberslip.scheduling")
     private var logged = emptyMap<RunningJob, LargeJobWait>()
 
-    /** Takes the jobs that wait now; one that is not among them any more has begun with all its tasks or has ended. */
+    /**
+     * Logs the changes since the last call. [waits] has all jobs that wait now. A job that is no longer in it has
+     * started all its tasks or has ended.
+     */
     fun update(
         waits: Map<RunningJob, LargeJobWait>,
         now: Duration,
--- a/src/main/kotlin/umberslip/scheduling/LargeTaskReservations.kt
+++ b/src/main/kotlin/umberslip/scheduling/LargeTaskReservations.kt
@@ -6,10 +6,10 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Reserves machines for the starving jobs with large tasks that [LargeJobAdmission] admits: small tasks would fill
- * every gap before it is wide enough, and a job's turn is worth nothing while nothing fits. Each reservation waits for
- * one task, on the machine that has room for it soonest; urgent and guaranteed work may use the machine all the same.
- * Pure: time is an input.
+ * Reserves machines for the starving jobs with large tasks that [LargeJobAdmission] admits. Without reservations, small
+ * tasks would fill every gap before it is large enough, and the share of [StarvationGuard] does not help a job whose
+ * tasks fit nowhere. Each reservation holds the machine that is expected to have room soonest for one task. Urgent and
+ * guaranteed work may still use that machine. Pure: time is an input.
  */
 internal class LargeTaskReservations(
     private val scheduler: SchedulerState,
@@ -19,16 +19,16 @@
     private val waitLog = LargeJobWaitLog()
     private var lastRun: Duration? = null
 
-    /** Where the next search for machines goes on, since each looks at a bounded number. */
+    /** The position at which the next search for machines starts, since each search considers a bounded number. */
     private var nextMachine = 0
 
-    /** Does nothing if the last run was a short while ago. */
+    /** Ends and makes reservations. Does nothing if the last run was less than [INTERVAL] ago. */
     fun update(now: Duration) {
         if (lastRun?.let { now - it < INTERVAL } == true) return
         lastRun = now
         val usable = scheduler.machines.values.filter { it.isUsable }
         val maxReservations = maxOf(1, (usable.size * MAX_RESERVED_SHARE).toInt())
-        val waits = admission.waits(usable, maxReservations, now)
+        val waits = admission.waitReasons(usable, maxReservations, now)
         waitLog.update(waits, now)
         val admitted = waits.filterValues { it == LargeJobWait.WAITS_FOR_RESERVATION }.keys
         endReservations(admitted, now)
@@ -48,18 +48,21 @@
         }
     }
 
-    /** Null if the reservation stands; [others] are the reservations of its job that do. */
+    /**
+     * Returns why the reservation of [machine] ends, or null if it is kept. [keptReservations] is the number of
+     * reservations for the same job that are already known to be kept.
+     */
     private fun reasonToEnd(
         machine: Machine,
         reservation: Reservation,
         admitted: Set<RunningJob>,
-        others: Int,
+        keptReservations: Int,
         now: Duration,
     ): String? {
         val job = reservation.job
         return when {
             job !in admitted -> "job no longer waits for one"
-            others >= job.waiting -> "no task left"
+            keptReservations >= job.waiting -> "no task left"
             !machine.mayBeReservedFor(job) -> "machine unusable"
             now - reservation.since >= LargeJobAdmission.RESERVATION_TIMEOUT -> "timeout"
             else -> null
@@ -87,7 +90,10 @@
         }
     }
 
-    /** For the tasks without a reservation, as far as the team's limit allows to start them. */
+    /**
+     * Returns how many more machines to reserve for [job]: one for each waiting task without a reservation, as far as
+     * the team's limit allows the tasks to start.
+     */
     private fun wantedReservations(
         job: RunningJob,
         reservationCounts: Map<RunningJob, Int>,
@@ -101,7 +107,10 @@
         return minOf(wanted, (freeCpus / job.resources.cpus.coerceAtLeast(MIN_CPUS)).toInt())
     }
 
-    /** The machines that have room for a task of [job] soonest, out of a bounded number that are looked at. */
+    /**
+     * Returns up to [wanted] machines that are expected to have room for a task of [job] soonest, out of the next
+     * [MAX_MACHINES_CONSIDERED] machines.
+     */
     private fun soonestMachines(
         job: RunningJob,
         usable: List<Machine>,
@@ -132,10 +141,10 @@
     private companion object {
         val INTERVAL = 1.seconds
 
-        /** The rest of the machines take all work meanwhile, so that nobody waits for all reservations at once. */
+        /** The rest of the machines take any work, so that no other job has to wait until all reservations end. */
         const val MAX_RESERVED_SHARE = 0.25
 
-        /** Bound the work of one run; the next goes on with the other jobs and machines. */
+        /** Bounds the work of one run, with [MAX_MACHINES_CONSIDERED]; the next run continues with the rest. */
         const val MAX_SEARCHES = 4
         const val MAX_MACHINES_CONSIDERED = 200
         const val MIN_CPUS = 0.1
--- a/src/main/kotlin/umberslip/scheduling/MachineReservations.kt
+++ b/src/main/kotlin/umberslip/scheduling/MachineReservations.kt
@@ -5,16 +5,17 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Reserves a machine for a team's starving job: small tasks would fill every gap for ever before a large one fits. The
- * job gets the least used machine that can hold its task, until a task is placed there or the reservation is of no use
- * any more. One reservation for each team at a time. Pure: time is an input.
+ * Reserves a machine for the blocked job at the head of a team's queue. Otherwise small tasks would fill every gap
+ * before it is large enough for a task of the job. The least used machine that is large enough is reserved, until a
+ * task of the job is placed there or the reservation is no longer useful. A team has at most one such reservation at a
+ * time. Pure: time is an input.
  */
 internal class MachineReservations(
     private val scheduler: SchedulerState,
 ) {
     private val log = LoggerFactory.getLogger("umberslip.scheduling")
 
-    /** Ends reservations of the team that are of no use, and makes one if there is none and a job needs it. */
+    /** Ends the team's reservations that are no longer useful, and makes one if none is left and a job needs it. */
     fun update(
         team: Dispatcher,
         now: Duration,
@@ -26,8 +27,8 @@
             team.restartHeadTimer(now)
         }
         if (useful.isNotEmpty()) return
-        // Only the first in order can lack a large enough gap; the others wait for their turn.
-        val job = team.blockedHeadSince(now - STARVING_AFTER, now) ?: return
+        // Only the head of the queue can be waiting for a large enough gap; the jobs behind it wait for their turn.
+        val job = team.headBlockedSince(now - STARVING_AFTER, now) ?: return
         val machine =
             scheduler.machines.values
                 .filter { it.reservation == null && it.mayBeReservedFor(job) }
@@ -47,7 +48,10 @@
         team: Dispatcher,
     ): Boolean = reservation != null && !reservation.yieldsToUrgent && reservation.job.spec.team == team.team.name
 
-    /** The team's limit, the job's zone or a failure may have come between; others should not wait for that. */
+    /**
+     * Whether the job can still use its reservation. By now the team's limit, the job's zone or a failure may prevent
+     * that, and other jobs should not wait for such a reservation.
+     */
     private fun isUseful(
         machine: Machine,
         team: Dispatcher,
@@ -61,10 +65,10 @@
     }
 
     private companion object {
-        /** How long the first job in order waits for a gap before a machine is reserved for it. */
+        /** How long the head of the queue waits for a large enough gap before a machine is reserved for it. */
         val STARVING_AFTER = 30.seconds
 
-        /** Bounds what a reservation that never works out costs the others. */
+        /** Bounds how long other jobs are kept off the machine by a reservation that never becomes usable. */
         val RESERVATION_TIMEOUT = 60.seconds
     }
 }
--- a/src/main/kotlin/umberslip/scheduling/Migration.kt
+++ b/src/main/kotlin/umberslip/scheduling/Migration.kt
@@ -4,27 +4,27 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Moves tasks off machines that are to be terminated, so that these are empty sooner: tasks that save a checkpoint when
- * stopped, have enough left to do, and find free resources elsewhere now. Pure: time is an input.
+ * Moves tasks off machines that are to be terminated, so that the machines become empty sooner. A task is moved if it
+ * saves a checkpoint when stopped, has enough run time left, and fits on another machine now. Pure: time is an input.
  */
 internal class Migration(
     private val scheduler: SchedulerState,
 ) {
-    /** Stops the tasks on [machines] that are worth moving, as long as there are places for them. */
+    /** Requests stops for the tasks on [machines] that are worth moving, as long as they fit on other machines. */
     fun migrate(
         machines: List<Machine>,
         now: Duration,
     ) {
         val candidates = machines.flatMap { machine -> machine.assignments.values.filter { isWorthMoving(it, now) } }
         if (candidates.isEmpty()) return
-        // What is being stopped already takes the places first.
-        var stopping = scheduler.machines.values.sumOf { machine -> stoppingTasks(machine) }
+        // Tasks that are already being stopped are expected to take free places first.
+        var stoppingCount = scheduler.machines.values.sumOf { machine -> stoppingTasks(machine) }
         val placesByJob = HashMap<RunningJob, Int>()
         for (assignment in candidates) {
             val places = placesByJob.getOrPut(assignment.job) { placesFor(assignment.job) }
-            if (places <= stopping) continue
+            if (places <= stoppingCount) continue
             assignment.requestStop(assignment.job.spec.checkpointSaveSeconds.seconds)
-            stopping++
+            stoppingCount++
         }
     }
 
@@ -39,7 +39,7 @@
 
     private fun stoppingTasks(machine: Machine): Int = machine.assignments.values.count { it.gracePeriod != null }
 
-    /** How many tasks of the job fit on usable machines now. */
+    /** Returns how many tasks of the job fit on usable machines now. */
     private fun placesFor(job: RunningJob): Int =
         scheduler.machines.values.sumOf { machine ->
             if (machine.isUsable && job.mayRunOn(machine)) {
@@ -50,10 +50,13 @@
         }
 
     private companion object {
-        /** A start counts for the users only if no command stops the task within 30 s; two more for the way. */
+        /** Users count a start only if no command stops the task within 30 s; 2 s more cover message delays. */
         val MIN_RUNTIME_BEFORE_MIGRATION = 32.seconds
 
-        /** Beyond the time to save and to restore a checkpoint; with less left, it ends here about as soon. */
+        /**
+         * The run time that must be left beyond the time to save and restore a checkpoint. A task with less left ends
+         * about as soon where it runs.
+         */
         val MIN_REMAINING_RUNTIME = 10.seconds
     }
 }
--- a/src/main/kotlin/umberslip/scheduling/Preemption.kt
+++ b/src/main/kotlin/umberslip/scheduling/Preemption.kt
@@ -8,9 +8,10 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Stops running tasks to free resources for work that found none: for a more urgent job, or for a team below its
- * guarantee from a team beyond its own. Only tasks that save a checkpoint when stopped are preempted, since others
- * would lose their work, and none that started a short while ago. Pure: time is an input.
+ * Stops running tasks to free resources for jobs that wait for them. A job may preempt jobs of lower priority. A job
+ * within its team's guarantee may also preempt jobs of teams that use more than theirs. Only tasks that save a
+ * checkpoint when stopped are preempted, since others would lose their progress, and only if they have run for
+ * [MIN_RUNTIME]. Pure: time is an input.
  */
 internal class Preemption(
     private val scheduler: SchedulerState,
@@ -23,10 +24,10 @@
         val team: Dispatcher,
         val job: RunningJob,
     ) {
-        val isGuaranteed = team.quota.isWithinGuarantee(job.resources)
+        val isWithinGuarantee = team.quota.isWithinGuarantee(job.resources)
     }
 
-    /** Does nothing if the last run was a short while ago. */
+    /** Stops tasks in favour of jobs that lack resources. Does nothing if the last run was less than [INTERVAL] ago. */
     fun run(now: Duration) {
         if (lastRun?.let { now - it < INTERVAL } == true) return
         lastRun = now
@@ -35,9 +36,9 @@
         if (claimants.isEmpty()) return
         val victims = victims()
         val usable = scheduler.machines.values.filter { it.isUsable }
-        // What is being stopped already frees resources for the first claimants.
+        // Tasks that are already being stopped free resources for the first claimants.
         var stoppingCpus = victims.sumOf(::stoppingCpus)
-        // The rest have their turn when these are placed.
+        // The remaining claimants are handled in later runs, once these have been placed.
         for (claimant in claimants.take(MAX_CLAIMANTS)) {
             if (!claimant.team.quota.isWithinLimit(claimant.job.resources)) continue
             if (victims.none { mayPreempt(claimant, it) }) continue
@@ -48,13 +49,13 @@
         }
     }
 
-    /** Those below their guarantee first, then by priority, then by deadline. */
+    /** Returns the claimants within their team's guarantee first, then by priority, then by deadline. */
     private fun claimants(now: Duration): List<Claimant> =
         scheduler.teams.values
-            .flatMap { team -> team.waiting.filter { isStarving(it, now) }.map { Claimant(team, it) } }
-            .sortedWith(compareBy({ !it.isGuaranteed }, { it.job.priority }, { it.job.firstDeadline }))
+            .flatMap { team -> team.waiting.filter { lacksResources(it, now) }.map { Claimant(team, it) } }
+            .sortedWith(compareBy({ !it.isWithinGuarantee }, { it.job.priority }, { it.job.firstDeadline }))
 
-    private fun isStarving(
+    private fun lacksResources(
         job: RunningJob,
         now: Duration,
     ): Boolean =
@@ -63,7 +64,10 @@
             job.retryAfter <= now &&
             now - job.waitingSince > MIN_WAIT
 
-    /** Jobs whose tasks save checkpoints, the first to be preempted first. Ordering jobs saves sorting all tasks. */
+    /**
+     * Returns the array jobs with assigned tasks that save checkpoints, in the order in which they are preempted.
+     * Sorting jobs is cheaper than sorting all their tasks.
+     */
     private fun victims(): List<RunningJob> =
         scheduler.jobs.values
             .filter(::isPreemptible)
@@ -85,11 +89,11 @@
     ): Boolean {
         if (victim.priority > claimant.job.priority) return true
         val victimTeam = scheduler.teams[victim.spec.team] ?: return false
-        if (!claimant.isGuaranteed || victimTeam === claimant.team) return false
+        if (!claimant.isWithinGuarantee || victimTeam === claimant.team) return false
         return victimTeam.quota.usedCpus > victimTeam.quota.guaranteedCpus
     }
 
-    /** What the claimant could use beyond the free resources, within its team's limit. */
+    /** Returns how many processors the claimant could use beyond the free ones, within its team's limit. */
     private fun missingCpus(
         claimant: Claimant,
         usable: List<Machine>,
@@ -98,7 +102,7 @@
         val quota = claimant.team.quota
         var missing = job.waiting * job.resources.cpus
         quota.maxCpus?.let { missing = minOf(missing, it - quota.usedCpus) }
-        if (claimant.isGuaranteed && job.priority == Priority.IDLE) {
+        if (claimant.isWithinGuarantee && job.priority == Priority.IDLE) {
             missing = minOf(missing, quota.guaranteedCpus - quota.usedCpus)
         }
         return missing - usable.sumOf { freeCpus(it, job) }
@@ -144,13 +148,13 @@
     private companion object {
         val INTERVAL = 500.milliseconds
 
-        /** New work waits this long for resources before others are stopped. */
+        /** How long a job waits for resources before tasks of other jobs are stopped for it. */
         val MIN_WAIT = 1500.milliseconds
 
-        /** A start counts for the users only if no command stops the task within 30 s. */
+        /** Users count a start only if no command stops the task within 30 s. */
         val MIN_RUNTIME = 32.seconds
 
-        /** A task that has less left than this frees its resources soon by itself. */
+        /** A task that is expected to end within this time is not worth stopping. */
         val MIN_REMAINING_RUNTIME = 10.seconds
 
         /** Bounds the work of one run. */
--- a/src/main/kotlin/umberslip/scheduling/RunTimeEstimate.kt
+++ b/src/main/kotlin/umberslip/scheduling/RunTimeEstimate.kt
@@ -4,7 +4,7 @@
 import kotlin.time.Duration.Companion.seconds
 import kotlin.time.DurationUnit
 
-/** The expected run time of a job's tasks: a moving average of those that completed, before that the user's figure. */
+/** The expected run time of a job's tasks: a moving average over completed tasks, or the user's estimate before any. */
 internal class RunTimeEstimate(
     expectedSeconds: Double,
 ) {
@@ -13,12 +13,12 @@
     var seconds: Double = expectedSeconds.coerceAtLeast(MIN_EXPECTED_SECONDS)
         private set
 
-    /** [seconds] as a duration; stored, since it is read for every task that is considered. */
+    /** [seconds] as a duration; kept, since it is read for every task that is considered for placement. */
     var duration: Duration = seconds.seconds
         private set
 
-    /** A task completed after [runTime]. */
-    fun observed(runTime: Duration) {
+    /** Includes the run time of a task that has completed. */
+    fun add(runTime: Duration) {
         val newest = runTime.toDouble(DurationUnit.SECONDS)
         seconds = if (isObserved) seconds * (1 - NEWEST_WEIGHT) + newest * NEWEST_WEIGHT else newest
         isObserved = true
@@ -26,10 +26,10 @@
     }
 
     private companion object {
-        /** Users may state less, but no task starts and ends in less. */
+        /** Users may state a shorter run time, but no task starts and ends in less than this. */
         const val MIN_EXPECTED_SECONDS = 1.0
 
-        /** High enough to follow a change within a few tasks, low enough that one odd task does not decide. */
+        /** High enough to follow a change within a few tasks; low enough that one outlier does not dominate. */
         const val NEWEST_WEIGHT = 0.3
     }
 }
--- a/src/main/kotlin/umberslip/scheduling/RunningJob.kt
+++ b/src/main/kotlin/umberslip/scheduling/RunningJob.kt
@@ -15,19 +15,19 @@
 
 /**
  * An accepted job that has not ended, with all its tasks. Mutable; used on the leader actor's thread only.
- * Times are those of the leader's monotonic clock.
+ * All times are readings of the leader's monotonic clock.
  */
 class RunningJob(
     val spec: JobSpec,
-    /** The newest job record that is known, with its version in the store. */
+    /** The newest job record that the leader knows, with its version in the store. */
     var record: Versioned<JobRecord>,
     /** How many tasks one progress record covers. */
     val tasksPerBlock: Int,
-    /** When its user first submitted it. */
+    /** When the user first submitted the job. */
     val submittedAt: Duration,
-    /** The times by which its users want it done, the earliest first; at least one. */
+    /** The times by which the job should be done, the earliest first; there is at least one. */
     objectiveDeadlines: List<Duration>,
-    /** Those of them that its own deadline sets; they also hold for the jobs that it depends on. */
+    /** The objective deadlines that follow from the job's own deadline; the jobs that it depends on inherit them. */
     val deadlines: List<Duration> = emptyList(),
 ) {
     val resources = Resources(spec.cpus, spec.gpus, spec.memoryGb)
@@ -35,33 +35,36 @@
 
     // ---- dependencies ----
 
-    /** The jobs that it depends on and whose success is not recorded; nothing is placed while there are any. */
-    val pending = HashSet<JobId>()
+    /** The dependencies whose success is not recorded. No task of the job is placed while there are any. */
+    val pendingDependencies = HashSet<JobId>()
 
-    /** A job that it depends on is cancelled, so it can never run. */
+    /** Whether a job that this one depends on, directly or indirectly, is cancelled, so that this one can never run. */
     var dependencyCancelled = false
-    val isBlocked: Boolean get() = dependencyCancelled || pending.isNotEmpty()
+    val isBlocked: Boolean get() = dependencyCancelled || pendingDependencies.isNotEmpty()
 
-    /** Since when it may run: since its submission, or since the last job that it depends on succeeded. */
+    /** Since when the job may run: since its submission, or since the last of its dependencies succeeded. */
     var runnableSince: Duration = submittedAt
         private set
 
     // ---- priority and deadlines ----
 
-    private var ownDeadlines = objectiveDeadlines
+    private var ownObjectiveDeadlines = objectiveDeadlines
     private var inheritedDeadlines = emptyList<Duration>()
 
-    /** Its own objective deadlines and those that it inherits from jobs that depend on it, the earliest first. */
+    /** The job's own objective deadlines and those inherited from jobs that depend on it, the earliest first. */
     var objectiveDeadlines: List<Duration> = objectiveDeadlines
         private set
 
-    /** The first of its objective deadlines. */
+    /** The earliest objective deadline. */
     val firstDeadline: Duration get() = objectiveDeadlines.first()
 
-    /** Decides its position in the queue, which is why only the queue changes it; see [nextReachableDeadlineAt]. */
+    /**
+     * The result of [nextReachableDeadlineAt] when it was last updated. The job's position in its team's queue depends
+     * on it, so only [Dispatcher.reinsert] may change it while the job is queued.
+     */
     var nextReachableDeadline: Duration = firstDeadline
 
-    /** The highest of its own and of those of the unfinished jobs that depend on it. */
+    /** The highest of the job's own priority and the priorities of the unfinished jobs that depend on it. */
     var priority: Priority = spec.priority
         private set
 
@@ -71,23 +74,23 @@
     var doneCount = 0
         private set
 
-    /** The tasks that are, or may be, on a machine, by index. */
+    /** The assignments of the tasks that are, or may be, on a machine, by task index. */
     val assigned = HashMap<Int, Assignment>()
 
-    /** How many tasks are assigned in each zone; the empty name stands for zones that are not known yet. */
+    /** The number of assigned tasks in each zone; the empty name stands for zones that are not known yet. */
     val zones = HashMap<String, Int>()
     private val blocks = arrayOfNulls<ProgressBlock>((spec.tasks + tasksPerBlock - 1) / tasksPerBlock)
 
-    /** Tasks that were on a machine and wait again; the other waiting ones are [firstUnplaced] and later. */
+    /** Tasks that were on a machine and wait again. The other waiting tasks start at index [firstNeverAssigned]. */
     private val requeued = TreeSet<Int>()
-    private var firstUnplaced = 0
+    private var firstNeverAssigned = 0
 
     val finished: Boolean get() = doneCount == spec.tasks
 
-    /** How many tasks may be placed. */
+    /** The number of tasks that wait to be placed. Zero while none may be placed. */
     val waiting: Int get() = if (cancelled || isBlocked || isUnreadable) 0 else spec.tasks - doneCount - assigned.size
 
-    /** Whether nothing of it is on a machine or will be, so that its outcome may be written. */
+    /** Whether no task is on a machine or will be placed on one, so that the job's outcome may be written. */
     val isTerminal: Boolean
         get() =
             when {
@@ -97,53 +100,59 @@
             }
 
     /**
-     * A record of the job is malformed, so that what it says is unknown: nothing more of it is started, and nothing is
-     * written under its keys, until another leader can read them.
+     * Whether a record of the job is malformed. As its contents are unknown, no further task is started and nothing is
+     * written under the job's keys until another leader can read the records.
      */
     var isUnreadable = false
 
     // ---- scheduling ----
 
-    /** Nothing is placed before then, after failures on several machines. */
+    /** The time before which no task is placed, set after failures on several machines. */
     var retryAfter: Duration = Duration.ZERO
     val failures = JobFailures()
 
-    /** It has failed on every machine so far, probably by its own fault: its tasks are tried one at a time. */
+    /**
+     * Whether the job has failed on every machine so far, so that the fault is probably its own. Its tasks are tried
+     * one at a time.
+     */
     var isQuarantined = false
 
-    /** When a task of the job was last placed, or the job became known or runnable. */
+    /** When a task of the job was last placed; until then, when the job became known to the leader or runnable. */
     var lastPlaced: Duration = Duration.ZERO
 
-    /** When the job became known or runnable. */
+    /** When the job became known to the leader, or runnable if that was later. */
     var waitingSince: Duration = Duration.ZERO
     private val runTime = RunTimeEstimate(spec.expectedSeconds)
 
-    /** The expected run time of a task in seconds, by those observed, else by the specification. */
+    /** The expected run time of a task in seconds, as observed, or as specified before any task has completed. */
     val expectedSeconds: Double get() = runTime.seconds
     val expectedRunTime: Duration get() = runTime.duration
 
-    /** How long the gang may hold resources while it is incomplete. */
+    /** How long an incomplete gang may hold resources. */
     var assemblyTimeout: Duration = Duration.ZERO
 
     /** Since when the incomplete gang holds resources; null while it holds none. */
     var assemblingSince: Duration? = null
 
-    /** The next assembly may begin then. */
+    /** The time before which the gang is not assembled again. */
     var nextAssemblyAt: Duration = Duration.ZERO
 
-    /** The last job that it depends on has succeeded: its objectives count from now on. */
+    /** The last dependency has succeeded: the objectives of the job count from [now]. */
     fun becomeRunnable(
-        ownDeadlines: List<Duration>,
+        ownObjectiveDeadlines: List<Duration>,
         now: Duration,
     ) {
         runnableSince = now
         lastPlaced = now
         waitingSince = now
-        this.ownDeadlines = ownDeadlines
+        this.ownObjectiveDeadlines = ownObjectiveDeadlines
         updateDeadlines(now)
     }
 
-    /** Sets what it inherits from the jobs that depend on it. Its position in the queue may change by this. */
+    /**
+     * Sets the effective [priority] and the [deadlines] that the job inherits from the jobs that depend on it. This may
+     * change the job's position in the queue.
+     */
     fun inherit(
         priority: Priority,
         deadlines: List<Duration>,
@@ -155,35 +164,36 @@
     }
 
     private fun updateDeadlines(now: Duration) {
-        objectiveDeadlines = (ownDeadlines + inheritedDeadlines).sorted()
+        objectiveDeadlines = (ownObjectiveDeadlines + inheritedDeadlines).sorted()
         nextReachableDeadline = nextReachableDeadlineAt(now)
     }
 
     /**
-     * The first objective deadline that a task started now can meet. Work that has missed one makes way for what can
-     * still be in time, and counts again for the next; what has missed all comes last.
+     * Returns the first objective deadline that a task started at [now] can meet. A job that has missed a deadline is
+     * ordered by its next one, behind jobs that can still meet an earlier deadline. A job that has missed all of its
+     * deadlines is placed last, [ALL_MISSED_DELAY] after the latest.
      */
     fun nextReachableDeadlineAt(now: Duration): Duration =
         objectiveDeadlines.firstOrNull { now + expectedRunTime <= it }
             ?: (objectiveDeadlines.last() + ALL_MISSED_DELAY)
 
-    /** A task completed after this run time. */
-    fun runTimeObserved(runTime: Duration) = this.runTime.observed(runTime)
+    /** A task completed after [runTime]; updates the expected run time. */
+    fun runTimeObserved(runTime: Duration) = this.runTime.add(runTime)
 
-    /** Whether its tasks may be on that machine, given where its other tasks are. */
+    /** Whether another task may run on [machine], given the zones of the job's other tasks. */
     fun mayRunOn(machine: Machine): Boolean {
         if (spec.instanceTypes != null && machine.type !in spec.instanceTypes) return false
         if (spec.zone != null && machine.zone != spec.zone) return false
         if (machine.spot && !spec.spot) return false
         if (spec.oneZone && zones.isNotEmpty() && machine.zone !in zones) return false
         if (!spec.spread) return true
-        // Machines that only the records name may be in this zone.
+        // Machines that are known from the records only have no known zone yet and may be in this one.
         return (zones[machine.zone] ?: 0) + (zones[""] ?: 0) < spec.maxPerZone
     }
 
     fun isDone(index: Int): Boolean = done.get(index)
 
-    /** The task completed; it is never placed again. */
+    /** Marks the task as done, so that it is never placed again. */
     fun setDone(index: Int) {
         if (done.get(index)) return
         done.set(index)
@@ -191,24 +201,24 @@
         requeued.remove(index)
     }
 
-    /** The next task to place, which stays waiting; null if none may be placed. */
+    /** Returns the index of the next task to place, without placing it; null if none may be placed. */
     fun nextTask(): Int? {
         if (cancelled || isBlocked) return null
         if (requeued.isNotEmpty()) return requeued.first()
-        while (firstUnplaced < spec.tasks && isPlacedOrDone(firstUnplaced)) firstUnplaced++
-        return if (firstUnplaced < spec.tasks) firstUnplaced else null
+        while (firstNeverAssigned < spec.tasks && isPlacedOrDone(firstNeverAssigned)) firstNeverAssigned++
+        return if (firstNeverAssigned < spec.tasks) firstNeverAssigned else null
     }
 
     private fun isPlacedOrDone(index: Int): Boolean = done.get(index) || assigned.containsKey(index)
 
-    /** The task is, or may be, on the assignment's machine, and does not wait. */
+    /** Marks the task as assigned: it is, or may be, on the assignment's machine and no longer waits. */
     fun place(assignment: Assignment) {
         requeued.remove(assignment.index)
         assigned[assignment.index] = assignment
         zones.merge(assignment.zone, 1, Int::plus)
     }
 
-    /** The task waits again unless it is done. An assignment that was replaced meanwhile has no effect. */
+    /** Removes [assignment] unless it was replaced meanwhile. The task waits again unless it is done. */
     fun unplace(assignment: Assignment) {
         if (assigned[assignment.index] !== assignment) return
         assigned.remove(assignment.index)
@@ -216,7 +226,7 @@
         if (!done.get(assignment.index)) requeued.add(assignment.index)
     }
 
-    /** Whether [record] can be that of the block with that number: it names no tasks outside of the block. */
+    /** Whether [record] can be the record of block [number]: the block exists, and the record names only its tasks. */
     fun covers(
         number: Int,
         record: ProgressRecord,
@@ -226,22 +236,22 @@
         return record.done.length() <= range.count() && record.placed.all { it.index in range }
     }
 
-    /** The progress block that covers a task. */
+    /** Returns the progress block that covers a task. */
     fun block(index: Int): ProgressBlock = blockNumber(index / tasksPerBlock)
 
-    /** The progress block with that number, counted from zero. */
+    /** Returns the progress block with that number, counted from zero, and creates it on first use. */
     fun blockNumber(number: Int): ProgressBlock {
-        val known = blocks[number]
-        return known ?: ProgressBlock(this, number).also { blocks[number] = it }
+        val existing = blocks[number]
+        return existing ?: ProgressBlock(this, number).also { blocks[number] = it }
     }
 
-    /** Blocks that have been used; those of the other tasks have nothing to write. */
+    /** Returns the blocks that have been used. The other blocks have nothing to write. */
     fun knownBlocks(): List<ProgressBlock> = blocks.filterNotNull()
 
-    /** The highest attempt number that any of its tasks was given. */
+    /** Returns the highest attempt number that any task of the job was given. */
     fun highestAttempt(): Long = blocks.maxOfOrNull { it?.lastAttempt ?: 0L } ?: 0L
 
-    /** Applies a stored progress record; its placements are left to the caller. */
+    /** Applies a stored progress record except for its placements, which the caller applies. */
     fun load(
         number: Int,
         record: Versioned<ProgressRecord>,
@@ -256,7 +266,7 @@
             .forEach { setDone(firstIndex + it) }
     }
 
-    /** The block's progress as it is to be stored; [seq] is that of the newest log entry that it contains. */
+    /** Returns the block's progress as it is to be stored; [seq] is that of the newest log entry that it includes. */
     fun progressRecord(
         block: ProgressBlock,
         seq: Long,
@@ -272,7 +282,7 @@
     }
 
     private companion object {
-        /** Puts work that has missed all its deadlines behind what can be in time, though not behind it for ever. */
+        /** Puts a job that has missed all its deadlines behind jobs that can meet theirs, but not indefinitely. */
         val ALL_MISSED_DELAY = 1.hours
     }
 }
--- a/src/main/kotlin/umberslip/scheduling/StarvationGuard.kt
+++ b/src/main/kotlin/umberslip/scheduling/StarvationGuard.kt
@@ -5,30 +5,33 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Gives a share of the dispatched processors to the jobs that wait longest, whatever their priority and team; the
- * longer they wait, the larger it is. Under a lasting overload the order of priority alone would leave some of them
- * waiting for ever; so every job is reached in bounded time. While nobody has waited long, priority decides alone.
+ * Gives a share of the dispatched processors to the jobs that have waited longest, whatever their priority and team.
+ * The share grows with the wait. Under a lasting overload, some jobs would wait indefinitely if priority alone decided;
+ * with the share, every job gets its turn in bounded time. Priority decides alone while no job has waited long.
  * Pure: time is an input.
  */
 class StarvationGuard {
     /** Jobs with tasks to place, the longest waiting first. */
     private val queue = TreeSet(compareBy<RunningJob>({ it.runnableSince }, { it.spec.id.value }))
 
-    /** Processors that starving jobs may still be given out of turn. */
+    /** Processors of which starving jobs may still be dispatched out of turn; negative if they got more than due. */
     private var creditCpus = 0.0
 
-    /** Puts the job into the queue, or takes it out, by whether it has tasks to place. */
+    /** Adds the job to the queue if it has tasks to place; otherwise removes it. */
     fun refresh(job: RunningJob) {
         if (job.waiting > 0) queue.add(job) else queue.remove(job)
     }
 
-    /** The job has ended. */
+    /** Removes a job that has ended. */
     fun remove(job: RunningJob) {
         queue.remove(job)
     }
 
-    /** The longest starving job that [mayPlace] allows; null if it is not the turn of the starving jobs. */
-    fun next(
+    /**
+     * Returns the longest waiting of the starving jobs that [mayPlace] allows; null if there is none, or if it is not
+     * the turn of the starving jobs.
+     */
+    fun nextJob(
         now: Duration,
         mayPlace: (RunningJob) -> Boolean,
     ): RunningJob? {
@@ -39,15 +42,18 @@
             .firstOrNull { !it.isQuarantined && mayPlace(it) }
     }
 
-    /** A task of [job] was placed; [outOfTurn] if that was as the longest starving job, not by its priority. */
-    fun dispatched(
+    /**
+     * Updates the credit after a task of [job] was placed. [outOfTurn] tells that the job was placed because it was
+     * starving, not by its priority.
+     */
+    fun recordDispatch(
         job: RunningJob,
         outOfTurn: Boolean,
         now: Duration,
     ) {
         val cpus = job.resources.cpus
-        val first = queue.firstOrNull { !it.isQuarantined }
-        val share = if (first == null) 0.0 else shareAfter(now - first.runnableSince)
+        val longestWaiting = queue.firstOrNull { !it.isQuarantined }
+        val share = if (longestWaiting == null) 0.0 else shareAfter(now - longestWaiting.runnableSince)
         if (share <= 0) {
             creditCpus = 0.0
             return
@@ -56,22 +62,22 @@
         creditCpus = (creditCpus + cpus * share - charged).coerceIn(-MAX_CREDIT_CPUS, MAX_CREDIT_CPUS)
     }
 
-    /** The starving jobs' share of all dispatched processors, by how long the first of them has waited. */
+    /** Returns the starving jobs' share of all dispatched processors, given the longest wait among them. */
     private fun shareAfter(waited: Duration): Double {
         if (waited < STARVING_AFTER) return 0.0
-        val progress = (waited - STARVING_AFTER) / (LARGEST_SHARE_AFTER - STARVING_AFTER)
-        return minOf(LARGEST_SHARE, FIRST_SHARE + (LARGEST_SHARE - FIRST_SHARE) * progress)
+        val progress = (waited - STARVING_AFTER) / (MAX_SHARE_AFTER - STARVING_AFTER)
+        return minOf(MAX_SHARE, INITIAL_SHARE + (MAX_SHARE - INITIAL_SHARE) * progress)
     }
 
     private companion object {
-        const val FIRST_SHARE = 0.2
+        const val INITIAL_SHARE = 0.2
 
-        /** What is left keeps work of high priority moving. */
-        const val LARGEST_SHARE = 0.8
+        /** The rest of the processors remains for dispatch by priority, so that work of high priority progresses. */
+        const val MAX_SHARE = 0.8
 
-        /** Bounds how much one side makes up for after it had nothing to place. */
+        /** Bounds how much starving jobs, or all others, catch up after a time in which they had nothing to place. */
         const val MAX_CREDIT_CPUS = 32.0
         val STARVING_AFTER = 90.seconds
-        val LARGEST_SHARE_AFTER = 180.seconds
+        val MAX_SHARE_AFTER = 180.seconds
     }
 }
