--- a/src/main/kotlin/umberslip/scheduling/LargeJobWait.kt
+++ b/src/main/kotlin/umberslip/scheduling/LargeJobWait.kt
@@ -49,7 +49,7 @@
         }
         for (job in logged.keys - waits.keys) {
             log.info(
-                "starving job with large tasks waits no more: job={} waited={} tasks_waiting={}",
+                "starving job with large tasks no longer waits: job={} waited={} tasks_waiting={}",
                 job.spec.id.value,
                 now - job.runnableSince,
                 job.waiting,
--- a/src/main/kotlin/umberslip/scheduling/LargeTaskReservations.kt
+++ b/src/main/kotlin/umberslip/scheduling/LargeTaskReservations.kt
@@ -61,8 +61,8 @@
     ): String? {
         val job = reservation.job
         return when {
-            job !in admitted -> "job no longer waits for one"
-            keptReservations >= job.waiting -> "no task left"
+            job !in admitted -> "job no longer waits for a reservation"
+            keptReservations >= job.waiting -> "more reservations than waiting tasks"
             !machine.mayBeReservedFor(job) -> "machine unusable"
             now - reservation.since >= LargeJobAdmission.RESERVATION_TIMEOUT -> "timeout"
             else -> null
--- a/src/main/kotlin/umberslip/scheduling/MachineReservations.kt
+++ b/src/main/kotlin/umberslip/scheduling/MachineReservations.kt
@@ -23,7 +23,7 @@
         val reserved = scheduler.machines.values.filter { isHeadReservation(it.reservation, team) }
         val (useful, useless) = reserved.partition { isUseful(it, team, now) }
         for (machine in useless) {
-            machine.endReservation("of no use", now)
+            machine.endReservation("no longer useful", now)
             team.restartHeadTimer(now)
         }
         if (useful.isNotEmpty()) return
