--- a/src/main/kotlin/umberslip/scheduling/DependencyGraph.kt
+++ b/src/main/kotlin/umberslip/scheduling/DependencyGraph.kt
@@ -41,7 +41,7 @@
      * Adds a job; the jobs that it depends on may be added before or after it. Returns the other jobs that are
      * cancelled because they depend on it.
      */
-    fun added(job: RunningJob): List<RunningJob> {
+    fun add(job: RunningJob): List<RunningJob> {
         val id = job.spec.id
         unreadOutcomes -= id
         for (dependency in job.spec.dependencies) addDependency(job, dependency)
@@ -86,7 +86,7 @@
     }
 
     /** Takes the recorded [outcome] of a job. Returns the jobs that become runnable or are cancelled by it. */
-    fun ended(
+    fun recordOutcome(
         id: JobId,
         outcome: JobOutcome,
     ): List<RunningJob> {
@@ -103,7 +103,7 @@
     }
 
     /** Removes a job that is no longer among the unfinished jobs. Its outcome may become known later. */
-    fun removed(job: RunningJob) {
+    fun remove(job: RunningJob) {
         for (dependency in job.pendingDependencies) {
             val blocked = dependents[dependency] ?: continue
             blocked -= job
--- a/src/main/kotlin/umberslip/scheduling/HeartbeatReconciliation.kt
+++ b/src/main/kotlin/umberslip/scheduling/HeartbeatReconciliation.kt
@@ -55,7 +55,7 @@
         assignment.status = task.status
         if (task.status == TaskState.RUNNING && assignment.runningSince == null) {
             assignment.runningSince = now
-            machine.taskRuns(assignment.job.spec.image)
+            machine.imageFetched(assignment.job.spec.image)
         }
         if (task.status == TaskState.EXITED) applyExit(machine, assignment, task.cause ?: ExitCause.ERROR, now)
     }
--- a/src/main/kotlin/umberslip/scheduling/Machine.kt
+++ b/src/main/kotlin/umberslip/scheduling/Machine.kt
@@ -170,7 +170,7 @@
     }
 
     /** A heartbeat shows that a task runs here with this image. */
-    fun taskRuns(image: String) = images.taskRuns(image)
+    fun imageFetched(image: String) = images.imageFetched(image)
 
     /** Null as long as [capacity] is. */
     fun freeResources(): Resources? = capacity?.minus(used)
--- a/src/main/kotlin/umberslip/scheduling/MachineHeartbeats.kt
+++ b/src/main/kotlin/umberslip/scheduling/MachineHeartbeats.kt
@@ -34,9 +34,9 @@
         machine.zone = zone
         for (former in machine.assignments.values.toList()) {
             val moved = former.inZone(zone)
-            former.job.unplace(former)
+            former.job.unassign(former)
             machine.remove(former)
-            former.job.place(moved)
+            former.job.assign(moved)
             machine.add(moved)
         }
     }
--- a/src/main/kotlin/umberslip/scheduling/MachineImages.kt
+++ b/src/main/kotlin/umberslip/scheduling/MachineImages.kt
@@ -28,7 +28,7 @@
     }
 
     /** A task runs with the image, which shows that the image is fetched. */
-    fun taskRuns(image: String) {
+    fun imageFetched(image: String) {
         if (fetched.add(image)) tasksWaiting.remove(image)
     }
 }
--- a/src/main/kotlin/umberslip/scheduling/PendingWrites.kt
+++ b/src/main/kotlin/umberslip/scheduling/PendingWrites.kt
@@ -34,7 +34,7 @@
         starts.removeAll { it.job === job }
         exits.removeAll { it.job === job }
         finishedJobs -= job
-        for (block in job.knownBlocks()) {
+        for (block in job.usedBlocks()) {
             block.discard()
             unflushedBlocks -= block
             if (block.version != Version.NONE) obsoleteKeys += block.key
--- a/src/main/kotlin/umberslip/scheduling/RecordLoader.kt
+++ b/src/main/kotlin/umberslip/scheduling/RecordLoader.kt
@@ -65,7 +65,7 @@
         number: Int,
         record: Versioned<ProgressRecord>,
     ) {
-        if (!job.covers(number, record.value)) {
+        if (!job.matchesBlock(number, record.value)) {
             val key = Keys.progress(job.spec.id, number)
             log.error("malformed record left alone: key={} reason=it names tasks of other blocks", key)
             job.isUnreadable = true
--- a/src/main/kotlin/umberslip/scheduling/RecordResolution.kt
+++ b/src/main/kotlin/umberslip/scheduling/RecordResolution.kt
@@ -70,7 +70,7 @@
 
     private fun progressBlock(key: String): ProgressBlock? {
         val progressKey = Keys.asProgress(key) ?: return null
-        return jobs[progressKey.job]?.blockNumber(progressKey.block)
+        return jobs[progressKey.job]?.blockByNumber(progressKey.block)
     }
 
     private fun jobPresent(
--- a/src/main/kotlin/umberslip/scheduling/RunningJob.kt
+++ b/src/main/kotlin/umberslip/scheduling/RunningJob.kt
@@ -212,14 +212,14 @@
     private fun isPlacedOrDone(index: Int): Boolean = done.get(index) || assigned.containsKey(index)
 
     /** Marks the task as assigned: it is, or may be, on the assignment's machine and no longer waits. */
-    fun place(assignment: Assignment) {
+    fun assign(assignment: Assignment) {
         requeued.remove(assignment.index)
         assigned[assignment.index] = assignment
         zones.merge(assignment.zone, 1, Int::plus)
     }
 
     /** Removes [assignment] unless it was replaced meanwhile. The task waits again unless it is done. */
-    fun unplace(assignment: Assignment) {
+    fun unassign(assignment: Assignment) {
         if (assigned[assignment.index] !== assignment) return
         assigned.remove(assignment.index)
         zones.computeIfPresent(assignment.zone) { _, count -> if (count > 1) count - 1 else null }
@@ -227,7 +227,7 @@
     }
 
     /** Whether [record] can be the record of block [number]: the block exists, and the record names only its tasks. */
-    fun covers(
+    fun matchesBlock(
         number: Int,
         record: ProgressRecord,
     ): Boolean {
@@ -237,16 +237,16 @@
     }
 
     /** Returns the progress block that covers a task. */
-    fun block(index: Int): ProgressBlock = blockNumber(index / tasksPerBlock)
+    fun block(index: Int): ProgressBlock = blockByNumber(index / tasksPerBlock)
 
     /** Returns the progress block with that number, counted from zero, and creates it on first use. */
-    fun blockNumber(number: Int): ProgressBlock {
+    fun blockByNumber(number: Int): ProgressBlock {
         val existing = blocks[number]
         return existing ?: ProgressBlock(this, number).also { blocks[number] = it }
     }
 
     /** Returns the blocks that have been used. The other blocks have nothing to write. */
-    fun knownBlocks(): List<ProgressBlock> = blocks.filterNotNull()
+    fun usedBlocks(): List<ProgressBlock> = blocks.filterNotNull()
 
     /** Returns the highest attempt number that any task of the job was given. */
     fun highestAttempt(): Long = blocks.maxOfOrNull { it?.lastAttempt ?: 0L } ?: 0L
@@ -256,7 +256,7 @@
         number: Int,
         record: Versioned<ProgressRecord>,
     ) {
-        val block = blockNumber(number)
+        val block = blockByNumber(number)
         block.version = record.version
         block.lastAttempt = record.value.lastAttempt
         block.storedDone = record.value.done
--- a/src/main/kotlin/umberslip/scheduling/SchedulerState.kt
+++ b/src/main/kotlin/umberslip/scheduling/SchedulerState.kt
@@ -110,7 +110,7 @@
         }
         val job = newJob(record, now)
         jobs[id] = job
-        dependencyGraph.added(job).forEach(assignments::refresh)
+        dependencyGraph.add(job).forEach(assignments::refresh)
         assignments.refresh(job)
     }
 
@@ -161,7 +161,7 @@
         teams[job.spec.team]?.remove(job)
         starvationGuard.remove(job)
         writeAheadLog.remove(job)
-        dependencyGraph.removed(job)
+        dependencyGraph.remove(job)
     }
 
     /** Takes the recorded [outcome] of a job that others depend on. */
@@ -170,7 +170,7 @@
         outcome: JobOutcome,
         now: Duration,
     ) {
-        for (job in dependencyGraph.ended(id, outcome)) {
+        for (job in dependencyGraph.recordOutcome(id, outcome)) {
             if (!job.isBlocked) {
                 job.becomeRunnable(jobObjectives.objectiveDeadlines(job.spec, job.submittedAt, now), now)
             }
--- a/src/test/kotlin/umberslip/scheduling/DependencyGraphTest.kt
+++ b/src/test/kotlin/umberslip/scheduling/DependencyGraphTest.kt
@@ -85,7 +85,7 @@
             val job = RunningJob(spec, record, tasksPerBlock = 16, Duration.ZERO, objectiveDeadlines, deadlines)
             jobs[spec.id] = job
             model.changed()
-            dependencyGraph.added(job)
+            dependencyGraph.add(job)
         }
 
         private fun cancel(id: JobId) {
@@ -98,10 +98,10 @@
         private fun finish(id: JobId) {
             model.done(id)
             remove(id)
-            dependencyGraph.ended(id, JobOutcome.DONE)
+            dependencyGraph.recordOutcome(id, JobOutcome.DONE)
         }
 
-        private fun remove(id: JobId) = dependencyGraph.removed(jobs.remove(id) ?: error("$id is not there"))
+        private fun remove(id: JobId) = dependencyGraph.remove(jobs.remove(id) ?: error("$id is not there"))
 
         /** The records of cancelled jobs are removed, too, sooner or later. */
         private fun removeCancelled() {
@@ -109,7 +109,7 @@
                 if (random.nextInt(4) > 0) continue
                 remove(id)
                 model.changed()
-                if (random.nextBoolean()) dependencyGraph.ended(id, JobOutcome.CANCELLED)
+                if (random.nextBoolean()) dependencyGraph.recordOutcome(id, JobOutcome.CANCELLED)
             }
         }
 
@@ -118,9 +118,9 @@
             for (id in dependencyGraph.unread.toList()) {
                 val isUnknown = id !in jobs && notSubmitted.none { it.id == id }
                 if (model.isDone(id)) {
-                    dependencyGraph.ended(id, JobOutcome.DONE)
+                    dependencyGraph.recordOutcome(id, JobOutcome.DONE)
                 } else if (model.isCancelled(id) || isUnknown) {
-                    dependencyGraph.ended(id, JobOutcome.CANCELLED)
+                    dependencyGraph.recordOutcome(id, JobOutcome.CANCELLED)
                 }
             }
         }
--- a/src/test/kotlin/umberslip/scheduling/LogCompactionTest.kt
+++ b/src/test/kotlin/umberslip/scheduling/LogCompactionTest.kt
@@ -154,7 +154,7 @@
             assertTrue(compacted >= 5, "the log was compacted in $compacted runs")
         }
 
-    private fun TestScheduler.hasCopies() = scheduler.jobs.values.any { job -> job.knownBlocks().any { it.hasCopy } }
+    private fun TestScheduler.hasCopies() = scheduler.jobs.values.any { job -> job.usedBlocks().any { it.hasCopy } }
 
     private fun causeFor(
         scheduler: TestScheduler,
