--- a/src/test/kotlin/umberslip/scheduling/BusyCluster.kt
+++ b/src/test/kotlin/umberslip/scheduling/BusyCluster.kt
@@ -7,46 +7,46 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** Machines of 16 processors that run the tasks started on them, each for as long as its job expects. */
+/** Machines of 16 processors that run the tasks started on them, each for the expected run time of its job. */
 class BusyCluster(
     private val leader: TestScheduler,
     machines: Int,
-    /** After how long a task fails instead of completing; null if it does not. */
+    /** Returns after how long a task fails instead of completing; null if it does not fail. */
     private val failsAfter: (Assignment) -> Duration? = { null },
 ) {
     private val machineNames = MutableList(machines) { "m$it" }
-    private val began = HashMap<Pair<TaskId, Long>, Duration>()
+    private val firstReportedAt = HashMap<Pair<TaskId, Long>, Duration>()
 
-    /** All processors of the machines. */
-    val cpus = machines * PROCESSORS
+    /** The number of processors of all machines. */
+    val cpus = machines * CPUS_PER_MACHINE
 
-    /** How many tasks were started so far. */
-    val starts: Int get() = began.size
+    /** The number of task attempts that were started so far. */
+    val starts: Int get() = firstReportedAt.size
 
-    /** The machine is gone, with all that is on it. */
+    /** Terminates the machine and all tasks on it. */
     fun terminate(machineName: MachineName) {
         machineNames -= machineName.value
         leader.scheduler.terminated(listOf(machineName), leader.now)
     }
 
-    /** One second passes: every machine heartbeats, is dispatched to, and all that is due is written. */
+    /** Lets every machine send a heartbeat and get tasks, writes what is due, and runs the leader's maintenance. */
     fun step() {
         for (machineName in machineNames) {
-            leader.heartbeat(machineName, *reported(machineName), type = "large")
+            leader.heartbeat(machineName, *reportedTasks(machineName), type = "large")
             leader.dispatch(machineName)
         }
         leader.write()
         leader.tick()
     }
 
-    private fun reported(machineName: String): Array<ReportedTask> {
+    private fun reportedTasks(machineName: String): Array<ReportedTask> {
         val recorded = leader.tasksOn(machineName).filter { it.recorded }
-        return recorded.map(::reported).toTypedArray()
+        return recorded.map(::toReportedTask).toTypedArray()
     }
 
-    private fun reported(assignment: Assignment): ReportedTask {
+    private fun toReportedTask(assignment: Assignment): ReportedTask {
         val id = assignment.id
-        val ranFor = leader.now - began.getOrPut(id to assignment.attempt) { leader.now }
+        val ranFor = leader.now - firstReportedAt.getOrPut(id to assignment.attempt) { leader.now }
         val failure = failsAfter(assignment)
         return when {
             failure != null && ranFor >= failure -> TestScheduler.ended(id, assignment.attempt, ExitCause.ERROR)
@@ -57,6 +57,6 @@
     }
 
     private companion object {
-        const val PROCESSORS = 16.0
+        const val CPUS_PER_MACHINE = 16.0
     }
 }
--- a/src/test/kotlin/umberslip/scheduling/DependencyGraphTest.kt
+++ b/src/test/kotlin/umberslip/scheduling/DependencyGraphTest.kt
@@ -25,24 +25,28 @@
 import kotlin.time.Duration.Companion.seconds
 
 class DependencyGraphTest {
-    /** Chains, diamonds, wide fan-in and fan-out, and all between; a job depends only on jobs submitted before it. */
-    private fun graph(random: Random): List<JobSpec> {
-        val most = listOf(1, 2, 6)[random.nextInt(3)]
+    /** Generates chains, diamonds, wide fan-in and fan-out, and mixtures. A job depends only on jobs before it. */
+    private fun generateGraph(random: Random): List<JobSpec> {
+        val maxDependencies = listOf(1, 2, 6)[random.nextInt(3)]
         val specs = ArrayList<JobSpec>()
         repeat(random.nextInt(2, 25)) { n ->
-            val among = if (random.nextInt(3) == 0) specs.take(1) else specs.takeLast(1 + most)
+            val candidates = if (random.nextInt(3) == 0) specs.take(1) else specs.takeLast(1 + maxDependencies)
             specs +=
                 Fixtures.job(random, n).copy(
                     tasks = 1,
                     deadlineSeconds = if (random.nextInt(3) == 0) random.nextInt(50, 500).toDouble() else null,
                     expectedSeconds = random.nextInt(1, 20).toDouble(),
-                    dependencies = among.shuffled(random).take(random.nextInt(0, most + 1)).map { it.id },
+                    dependencies =
+                        candidates
+                            .shuffled(random)
+                            .take(random.nextInt(0, maxDependencies + 1))
+                            .map { it.id },
                 )
         }
         return specs
     }
 
-    /** Jobs are submitted, end and are cancelled at random; after each step the graph is as [DependencyModel] says. */
+    /** Submits, finishes and cancels jobs at random, and compares the graph with [DependencyModel] after each step. */
     private class History(
         private val random: Random,
         specs: List<JobSpec>,
@@ -51,11 +55,11 @@
         private val jobs = LinkedHashMap<JobId, RunningJob>()
         private val dependencyGraph = DependencyGraph(jobs)
 
-        /** A new leader loads the jobs in any order; else they are submitted one after the other while others end. */
+        /** After a failover, jobs are loaded in any order before any ends; otherwise they are submitted in order. */
         private val isAfterFailover = random.nextBoolean()
         private val notSubmitted = ArrayDeque(if (isAfterFailover) specs.shuffled(random) else specs)
 
-        fun play() {
+        fun run() {
             while (notSubmitted.isNotEmpty() || jobs.keys.any(model::isOpen)) {
                 submitOrEndOne()
                 removeCancelled()
@@ -84,36 +88,36 @@
             val objectiveDeadlines = deadlines.ifEmpty { listOf(WITHOUT_DEADLINE) }
             val job = RunningJob(spec, record, tasksPerBlock = 16, Duration.ZERO, objectiveDeadlines, deadlines)
             jobs[spec.id] = job
-            model.changed()
+            model.invalidate()
             dependencyGraph.add(job)
         }
 
         private fun cancel(id: JobId) {
-            model.cancelled(id)
+            model.markCancelled(id)
             val job = jobs.getValue(id)
             job.record = Versioned(job.record.value.copy(cancelled = true), Version(2))
             dependencyGraph.cancelDependents(job)
         }
 
         private fun finish(id: JobId) {
-            model.done(id)
+            model.markDone(id)
             remove(id)
             dependencyGraph.recordOutcome(id, JobOutcome.DONE)
         }
 
-        private fun remove(id: JobId) = dependencyGraph.remove(jobs.remove(id) ?: error("$id is not there"))
+        private fun remove(id: JobId) = dependencyGraph.remove(jobs.remove(id) ?: error("$id is not an unfinished job"))
 
-        /** The records of cancelled jobs are removed, too, sooner or later. */
+        /** Removes the records of some of the cancelled jobs; each is removed sooner or later. */
         private fun removeCancelled() {
             for (id in jobs.keys.filter { model.isCancelled(it) || model.isDependencyCancelled(it) }) {
                 if (random.nextInt(4) > 0) continue
                 remove(id)
-                model.changed()
+                model.invalidate()
                 if (random.nextBoolean()) dependencyGraph.recordOutcome(id, JobOutcome.CANCELLED)
             }
         }
 
-        /** The outcome of a job that ended before its dependents were submitted is read. */
+        /** Reads the outcomes that the graph asks for, of jobs that ended before their dependents were submitted. */
         private fun readOutcomes() {
             for (id in dependencyGraph.unread.toList()) {
                 val isUnknown = id !in jobs && notSubmitted.none { it.id == id }
@@ -152,16 +156,16 @@
     }
 
     @Test
-    fun `blocked and cancelled jobs, priorities and deadlines are as defined, through generated graphs`() =
+    fun `blocked and cancelled jobs, priorities and deadlines match the model for generated graphs`() =
         runBlocking<Unit> {
             checkAll(PropTestConfig(seed = 21, iterations = 300), Arb.long()) { seed ->
                 val random = Random(seed)
-                History(random, graph(random)).play()
+                History(random, generateGraph(random)).run()
             }
         }
 
     @Test
-    fun `a job is cancelled with a dependency however far away it is, and unknown outcomes are asked for`() {
+    fun `a job is cancelled with an indirect dependency at any distance, and unknown outcomes are requested`() {
         val specs =
             List(2000) { n ->
                 Fixtures.job(Random(n), n).copy(
@@ -170,16 +174,16 @@
             }
         val records = specs.associate { it.id to JobRecord(it, Instant.EPOCH, false) }
 
-        fun of(first: JobOutcome?) =
+        fun stateOfLast(firstOutcome: JobOutcome?) =
             DependencyState.of(
                 records.getValue(specs.last().id),
                 { id -> records[id].takeIf { id != specs[0].id } },
             ) {
-                first.takeIf { _ -> it == specs[0].id }
+                firstOutcome.takeIf { _ -> it == specs[0].id }
             }
-        assertEquals(DependencyState.Cancelled, of(JobOutcome.CANCELLED))
-        assertEquals(DependencyState.Open, of(JobOutcome.DONE))
-        assertEquals(DependencyState.Unread(setOf(specs[0].id)), of(null))
+        assertEquals(DependencyState.Cancelled, stateOfLast(JobOutcome.CANCELLED))
+        assertEquals(DependencyState.Open, stateOfLast(JobOutcome.DONE))
+        assertEquals(DependencyState.Unread(setOf(specs[0].id)), stateOfLast(null))
         val cancelled =
             DependencyState.of(
                 records.getValue(specs.last().id),
@@ -189,7 +193,7 @@
     }
 
     @Test
-    fun `nothing of a job is placed before the outcomes of its dependencies are recorded`() {
+    fun `no task of a job is placed before the outcomes of its dependencies are recorded`() {
         val leader = TestScheduler()
         val first = leader.job { it.copy(tasks = 1) }
         val second = leader.job { it.copy(tasks = 1, dependencies = listOf(first.spec.id), priority = Priority.HIGH) }
@@ -202,7 +206,7 @@
         )
         leader.heartbeat("m", ended(leader.tasksOn("m").single(), ExitCause.DONE))
         leader.dispatch("m")
-        assertTrue(first.finished, "done, and not recorded yet")
+        assertTrue(first.finished, "the job is done, but its outcome is not recorded yet")
         assertTrue(leader.machine("m").assignments.isEmpty())
         assertEquals(
             listOf(0, 0.0),
@@ -212,7 +216,7 @@
                     .getValue("green")
                     .quota.usedCpus,
             ),
-            "it has nothing allocated",
+            "the blocked job has no task to place and nothing allocated",
         )
         leader.write()
         leader.dispatch("m")
@@ -220,11 +224,11 @@
             listOf(second.spec.id),
             leader.tasksOn("m").map { it.job.spec.id },
         )
-        assertEquals(leader.now, second.runnableSince, "its objectives count from now on")
+        assertEquals(leader.now, second.runnableSince, "the objectives of the job count from now on")
     }
 
     @Test
-    fun `dependents of a cancelled job end without a start, as the records show a successor, too`() {
+    fun `dependents of a cancelled job end without a start, and their end is recorded`() {
         val leader = TestScheduler()
         val first = leader.job { it.copy(tasks = 1) }
         val second = leader.job { it.copy(dependencies = listOf(first.spec.id)) }
@@ -246,7 +250,7 @@
     }
 
     @Test
-    fun `a new leader asks for the outcomes that its jobs depend on`() {
+    fun `a new leader requests the outcomes of finished dependencies`() {
         val leader = TestScheduler()
         val finished = JobId("run-900000")
         val job = leader.job { it.copy(tasks = 1, dependencies = listOf(finished)) }
--- a/src/test/kotlin/umberslip/scheduling/DependencyModel.kt
+++ b/src/test/kotlin/umberslip/scheduling/DependencyModel.kt
@@ -6,7 +6,7 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** What [DependencyGraph] keeps up to date, computed by its definition over all jobs that ever were submitted. */
+/** A reference model of [DependencyGraph]: computes the same results by definition, from all jobs ever submitted. */
 internal class DependencyModel(
     specs: List<JobSpec>,
 ) {
@@ -14,26 +14,26 @@
     private val done = HashSet<JobId>()
     private val cancelled = HashSet<JobId>()
 
-    /** Results since the last change; without, long chains would be computed again and again. */
+    /** Results computed since the last change, cached so that long chains are not computed repeatedly. */
     private val dependencyCancelled = HashMap<JobId, Boolean>()
     private val priorities = HashMap<JobId, Priority>()
     private val inheritedDeadlines = HashMap<JobId, Duration>()
 
-    /** The set of unfinished jobs has changed: what follows from it is computed anew. */
-    fun changed() {
+    /** Discards the cached results; called whenever the set of unfinished jobs has changed. */
+    fun invalidate() {
         dependencyCancelled.clear()
         priorities.clear()
         inheritedDeadlines.clear()
     }
 
-    fun done(id: JobId) {
+    fun markDone(id: JobId) {
         done += id
-        changed()
+        invalidate()
     }
 
-    fun cancelled(id: JobId) {
+    fun markCancelled(id: JobId) {
         cancelled += id
-        changed()
+        invalidate()
     }
 
     fun isDone(id: JobId): Boolean = id in done
@@ -63,7 +63,7 @@
             (inherited + specs.getValue(id).priority).min()
         }
 
-    /** The earliest of the deadlines that the job inherits; infinite if there is none. */
+    /** Returns the earliest of the deadlines that the job inherits; infinite if there is none. */
     fun inheritedDeadline(
         id: JobId,
         unfinished: Set<JobId>,
@@ -72,7 +72,7 @@
             dependents(id, unfinished).minOfOrNull { startDeadline(it, unfinished) } ?: Duration.INFINITE
         }
 
-    /** By when the job's dependencies have to be done. */
+    /** Returns the time by which the job's dependencies have to be done. */
     private fun startDeadline(
         id: JobId,
         unfinished: Set<JobId>,
--- a/src/test/kotlin/umberslip/scheduling/DispatchRoundsTest.kt
+++ b/src/test/kotlin/umberslip/scheduling/DispatchRoundsTest.kt
@@ -9,7 +9,7 @@
 import umberslip.http.Documents
 import kotlin.time.Duration.Companion.seconds
 
-/** Which tasks a machine gets, and in which order. */
+/** Tests which tasks a machine gets in a dispatch round, and in which order. */
 class DispatchRoundsTest {
     private val leader = TestScheduler()
 
@@ -59,7 +59,7 @@
     }
 
     @Test
-    fun `work that has missed its deadline makes way for work that can be in time`() {
+    fun `a job that can meet its deadline is placed before a job that has missed its deadline`() {
         val late = leader.job { it.copy(tasks = 1) }
         leader.now += 55.seconds
         leader.tick()
@@ -71,7 +71,7 @@
     }
 
     @Test
-    fun `a heartbeat of a full machine costs the same however many jobs wait`() {
+    fun `the cost of a full machine's heartbeat does not depend on the number of waiting jobs`() {
         leader.job { it.copy(tasks = 4, cpus = 1.0, memoryGb = 0.5) }
         leader.heartbeat("m")
         leader.now += 2.seconds
--- a/src/test/kotlin/umberslip/scheduling/DispatcherTest.kt
+++ b/src/test/kotlin/umberslip/scheduling/DispatcherTest.kt
@@ -25,7 +25,7 @@
     ) = Dispatcher(TeamSettings(name, cpus, 0.0, max, null))
 
     @Test
-    fun `beyond their guarantees teams take turns by weight, whatever their tasks' size`() =
+    fun `teams beyond their guarantees take turns by weight, whatever the size of their tasks`() =
         runBlocking<Unit> {
             checkAll(
                 PropTestConfig(seed = 21, iterations = 40),
@@ -41,7 +41,7 @@
                 val dispatched = HashMap<Dispatcher, Double>()
                 repeat(2000) {
                     val candidates = mapOf(oneTeam to one, otherTeam to other)
-                    val next = WeightedRoundRobin.next(candidates) ?: error("nobody's turn")
+                    val next = WeightedRoundRobin.next(candidates) ?: error("no team was selected")
                     dispatched.merge(next, if (next === oneTeam) size.toDouble() else 1.0, Double::plus)
                 }
                 val share = (dispatched[oneTeam] ?: 0.0) / dispatched.values.sum()
@@ -51,15 +51,15 @@
         }
 
     @Test
-    fun `teams below their guarantee go first, then the highest priority`() {
+    fun `teams within their guarantee go first, then the team with the highest priority`() {
         val leader = TestScheduler()
         val urgent = leader.job { it.copy(priority = Priority.HIGH) }
         val idle = leader.job { it.copy(priority = Priority.IDLE) }
         val guaranteed = team("guaranteed", 10.0)
-        val none = team("none", 0.0)
-        val also = team("also", 0.0)
-        assertEquals(guaranteed, WeightedRoundRobin.next(mapOf(none to urgent, guaranteed to idle)))
-        assertEquals(none, WeightedRoundRobin.next(mapOf(none to urgent, also to idle)))
+        val withUrgentJob = team("none", 0.0)
+        val withIdleJob = team("also", 0.0)
+        assertEquals(guaranteed, WeightedRoundRobin.next(mapOf(withUrgentJob to urgent, guaranteed to idle)))
+        assertEquals(withUrgentJob, WeightedRoundRobin.next(mapOf(withUrgentJob to urgent, withIdleJob to idle)))
     }
 
     @Test
@@ -115,12 +115,12 @@
         private val cluster = BusyCluster(leader, machines = 6)
         private val highPriority = listOf(Priority.CRITICAL, Priority.HIGH, Priority.NORMAL).random(random)
         private val load = mapOf(highPriority to 0.6 + random.nextDouble() * 0.3, Priority.IDLE to 0.4)
-        private val missingCpuSeconds = HashMap<Priority, Double>()
+        private val cpuSecondsToSubmit = HashMap<Priority, Double>()
         private val submittedAt = HashMap<RunningJob, Duration>()
         private val startedAt = HashMap<RunningJob, Duration>()
         private val start = leader.now
 
-        fun play() {
+        fun run() {
             for (second in 1..SECONDS) {
                 leader.now += 1.seconds
                 for ((priority, share) in load) submit(priority, share, second)
@@ -136,16 +136,16 @@
             share: Double,
             second: Int,
         ) {
-            val missing = (missingCpuSeconds[priority] ?: 0.0) + share * cluster.cpus
-            // The largest is submitted last, with the lowest priority.
+            val missing = (cpuSecondsToSubmit[priority] ?: 0.0) + share * cluster.cpus
+            // The largest job is submitted last, with the lowest priority.
             val isLargest = second == LAST_SUBMISSION && priority == Priority.IDLE
             val tasks = if (isLargest) 120 else random.nextInt(4, 40)
             val seconds = random.nextInt(5, 15)
             if (second > LAST_SUBMISSION || (!isLargest && missing <= tasks * seconds)) {
-                missingCpuSeconds[priority] = missing
+                cpuSecondsToSubmit[priority] = missing
                 return
             }
-            missingCpuSeconds[priority] = missing - tasks * seconds
+            cpuSecondsToSubmit[priority] = missing - tasks * seconds
             val job =
                 leader.job {
                     it.copy(
@@ -180,14 +180,14 @@
     }
 
     /**
-     * Whatever its priority, team and size, and however late it is submitted, a job starts within four minutes, and of
-     * each priority at least half is done.
+     * A job starts within four minutes, whatever its priority, team and size and however late it is submitted. At least
+     * half of the tasks of each priority are done at the end.
      */
     @Test
     fun `no job starves under a lasting overload`() {
         for (seed in 1..12) {
             val overload = Overload(seed)
-            overload.play()
+            overload.run()
             overload.checkStarts()
             overload.checkDone()
         }
--- a/src/test/kotlin/umberslip/scheduling/GangAssemblyTest.kt
+++ b/src/test/kotlin/umberslip/scheduling/GangAssemblyTest.kt
@@ -7,12 +7,12 @@
 import umberslip.core.TaskId
 import kotlin.time.Duration.Companion.seconds
 
-/** Gangs start as a whole or not at all. */
+/** Tests that the tasks of a gang start together or not at all. */
 class GangAssemblyTest {
     private val leader = TestScheduler()
 
     @Test
-    fun `a gang starts as a whole under one attempt, or gives up its resources and may take longer next time`() {
+    fun `a gang starts as a whole under one attempt, or releases its resources and doubles its timeout`() {
         val gang = leader.job { it.copy(shape = Shape.GANG, tasks = 6) }
         leader.heartbeat("m")
         leader.dispatch("m")
@@ -39,6 +39,6 @@
                 .size,
         )
         gang.placedTasks().first().requestStop(4.seconds)
-        assertTrue(gang.assigned.values.all { it.gracePeriod == 4.seconds }, "stopped together, so that it can save")
+        assertTrue(gang.assigned.values.all { it.gracePeriod == 4.seconds }, "stopped together, to save a checkpoint")
     }
 }
--- a/src/test/kotlin/umberslip/scheduling/ImagePlacementTest.kt
+++ b/src/test/kotlin/umberslip/scheduling/ImagePlacementTest.kt
@@ -7,12 +7,12 @@
 import umberslip.core.Priority
 import kotlin.time.Duration.Companion.seconds
 
-/** Work is placed where its image is, as far as it has time to wait for that. */
+/** Tests that a job is placed on a machine with its image, as far as it has time to wait for one. */
 class ImagePlacementTest {
     private val leader = TestScheduler()
 
     @Test
-    fun `new work waits a moment for a machine that has its image`() {
+    fun `a new job waits a short time for a machine that has its image`() {
         val first = leader.job { it.copy(image = "one") }
         leader.startAll(first)
         val next = leader.job { it.copy(image = "one", tasks = 1) }
@@ -25,35 +25,35 @@
         val other = leader.job { it.copy(image = "one", tasks = 1) }
         leader.now += 2.seconds
         leader.dispatch("n")
-        assertEquals(MachineName("n"), other.placedTasks().single().machineName, "but not for long")
+        assertEquals(MachineName("n"), other.placedTasks().single().machineName, "the wait is limited")
     }
 
     @Test
     fun `a machine fetches one image at a time, and urgent work is placed anywhere`() {
-        // Found on the fleet's days: a third of all processors waited for fetches that shared a machine's bandwidth.
-        fun of(
+        // Guards against a fault: a third of all processors waited for fetches that shared a machine's bandwidth.
+        fun submit(
             image: String,
             priority: Priority = Priority.NORMAL,
         ) = leader.job { it.copy(image = image, imageGb = 6.0, priority = priority, tasks = 1) }
-        val first = of("one")
+        val first = submit("one")
         leader.heartbeat("m")
         leader.dispatch("m")
         assertEquals(1, first.assigned.size)
-        val other = of("two")
+        val other = submit("two")
         leader.now += 2.seconds
         leader.dispatch("m")
-        assertEquals(0, other.assigned.size, "it would wait for the first one's image, and then for its own")
-        val urgent = of("three", Priority.HIGH)
+        assertEquals(0, other.assigned.size, "the job would wait for the fetch of the first image and then for its own")
+        val urgent = submit("three", Priority.HIGH)
         leader.dispatch("m")
         assertEquals(1, urgent.assigned.size)
         leader.write()
         leader.heartbeat("m", *(first.placedTasks() + urgent.placedTasks()).map(::running).toTypedArray())
         leader.dispatch("m")
-        assertEquals(1, other.assigned.size, "all that was fetched is there")
+        assertEquals(1, other.assigned.size, "all fetches have ended")
     }
 
     @Test
-    fun `work whose image is present goes first while the first in order has time, and not for long`() {
+    fun `a job whose image is present goes first for a short time while the head of the queue has time`() {
         val present = leader.job { it.copy(image = "one", tasks = 1) }
         leader.startAll(present)
         leader.heartbeat("m", *present.placedTasks().map(::running).toTypedArray())
@@ -66,6 +66,6 @@
         leader.now += 7.seconds
         leader.heartbeat("n")
         leader.dispatch("n")
-        assertEquals(1, first.assigned.size, "it has waited long enough")
+        assertEquals(1, first.assigned.size, "the head of the queue has been passed over long enough")
     }
 }
--- a/src/test/kotlin/umberslip/scheduling/LargeTaskReservationsTest.kt
+++ b/src/test/kotlin/umberslip/scheduling/LargeTaskReservationsTest.kt
@@ -13,14 +13,14 @@
 import kotlin.time.Duration.Companion.seconds
 import kotlin.time.toJavaDuration
 
-/** Machines are reserved for starving jobs with large tasks, as late as they can be and within the team's share. */
+/** Tests that machines are reserved for starving jobs with large tasks, as late as possible and within fair share. */
 class LargeTaskReservationsTest {
     private val leader = TestScheduler()
     private val cluster = BusyCluster(leader, MACHINES)
     private val smallTasks = SmallTaskLoad(leader, cluster, seed = 1)
 
     @Test
-    fun `nothing is reserved before a job needs all of its time`() {
+    fun `no machine is reserved before a job needs all of its remaining time`() {
         val large = submitAfterSmallWork()
         val submitted = leader.now
         stepUntil { reservedFor(large).isNotEmpty() }
@@ -29,7 +29,7 @@
     }
 
     @Test
-    fun `nothing is reserved for a job that is larger than the cluster`() {
+    fun `no machine is reserved for a job that is larger than the cluster`() {
         val large = submitAfterSmallWork { it.copy(tasks = MACHINES * 2 + 1) }
         assertNeverReserved(large)
     }
@@ -42,16 +42,16 @@
 
     @Test
     fun `a reservation does not let a team exceed its limit`() {
-        val idle = SmallTaskLoad(leader, cluster, seed = 1) { it.copy(priority = Priority.IDLE) }
+        val idleLoad = SmallTaskLoad(leader, cluster, seed = 1) { it.copy(priority = Priority.IDLE) }
         leader.job { it.copy(team = "blue", tasks = 16, priority = Priority.HIGH, expectedSeconds = 1000.0) }
-        repeat(20) { idle.step() }
-        val large = List(2) { leader.job { large(it).copy(team = "blue", cpus = 8.0, tasks = 1) } }
+        repeat(20) { idleLoad.step() }
+        val large = List(2) { leader.job { toLargeJob(it).copy(team = "blue", cpus = 8.0, tasks = 1) } }
         val quota =
             leader.scheduler.teams
                 .getValue("blue")
                 .quota
         repeat(MAX_STEPS) {
-            idle.step()
+            idleLoad.step()
             val reserved = large.sumOf { reservedFor(it).size }
             assertTrue(quota.usedCpus + reserved * 8.0 <= 24.0, "${quota.usedCpus} used, $reserved machines reserved")
         }
@@ -59,7 +59,7 @@
     }
 
     @Test
-    fun `gangs, which assemble by themselves, get no reservation`() {
+    fun `no machine is reserved for a gang, which reserves resources itself`() {
         val gang = submitAfterSmallWork { it.copy(shape = Shape.GANG, tasks = 2) }
         assertNeverReserved(gang)
     }
@@ -71,7 +71,7 @@
     }
 
     @Test
-    fun `urgent work uses a reserved machine, normal work does not`() {
+    fun `urgent and guaranteed work uses a reserved machine, normal work does not`() {
         val large = submitAfterSmallWork()
         stepUntil { reservedFor(large).isNotEmpty() }
         val machine = reservedFor(large).first()
@@ -82,7 +82,7 @@
     }
 
     @Test
-    fun `another machine is reserved for one that is lost`() {
+    fun `another machine is reserved after a reserved machine is lost`() {
         val large = submitAfterSmallWork()
         stepUntil { reservedFor(large).isNotEmpty() }
         val lost = reservedFor(large).map { it.name }.toSet()
@@ -105,12 +105,12 @@
         val large = submitAfterSmallWork()
         stepUntil { reservedFor(large).isNotEmpty() }
         val failoverAt = leader.now
-        val submittedAgo = failoverAt - large.submittedAt
-        val successor = leader.successor { Instant.EPOCH + submittedAgo.toJavaDuration() }
+        val jobAge = failoverAt - large.submittedAt
+        val successor = leader.successor { Instant.EPOCH + jobAge.toJavaDuration() }
         val successorsCluster = BusyCluster(successor, MACHINES)
         val job = successor.scheduler.jobs.getValue(large.spec.id)
-        val reservedBy = failoverAt + FAILOVER_BOUND
-        while (successor.now < reservedBy &&
+        val reservationDeadline = failoverAt + FAILOVER_BOUND
+        while (successor.now < reservationDeadline &&
             successor.scheduler.machines.values
                 .none { it.reservedFor === job }
         ) {
@@ -123,7 +123,7 @@
         )
     }
 
-    private fun large(spec: JobSpec): JobSpec =
+    private fun toLargeJob(spec: JobSpec): JobSpec =
         spec.copy(
             priority = Priority.IDLE,
             tasks = 4,
@@ -132,10 +132,10 @@
             deadlineSeconds = null,
         )
 
-    /** A job of tasks that take a whole machine each but for what [change] changes; small tasks run everywhere. */
+    /** Submits a job, altered by [change], whose tasks need a whole machine each; small tasks run on all machines. */
     private fun submitAfterSmallWork(change: (JobSpec) -> JobSpec = { it }): RunningJob {
         repeat(30) { smallTasks.step() }
-        return leader.job { change(large(it)) }
+        return leader.job { change(toLargeJob(it)) }
     }
 
     private fun stepUntil(condition: () -> Boolean) {
@@ -143,7 +143,7 @@
             if (condition()) return
             smallTasks.step()
         }
-        assertTrue(condition(), "not within $MAX_STEPS s")
+        assertTrue(condition(), "condition not met within $MAX_STEPS s")
     }
 
     private fun assertNeverReserved(job: RunningJob) {
@@ -179,7 +179,7 @@
         const val MACHINES = 8
         const val MAX_STEPS = 300
 
-        /** Every machine's first heartbeat, and the next search for machines. */
+        /** Allows for every machine's first heartbeat and the next search for machines. */
         val FAILOVER_BOUND = 10.seconds
     }
 }
--- a/src/test/kotlin/umberslip/scheduling/MachineReservationsTest.kt
+++ b/src/test/kotlin/umberslip/scheduling/MachineReservationsTest.kt
@@ -8,36 +8,36 @@
 import umberslip.core.Priority
 import kotlin.time.Duration.Companion.seconds
 
-/** A machine is reserved for a job that small tasks would starve. */
+/** Tests that a machine is reserved for a job that small tasks would otherwise starve. */
 class MachineReservationsTest {
     private val leader = TestScheduler()
 
     @Test
-    fun `a machine is not reserved for ever for a job that cannot use it`() {
+    fun `the reservation of a machine ends if the job cannot use it`() {
         leader.startAll(leader.job { it.copy(tasks = 1, cpus = 1.0, expectedSeconds = 500.0) })
-        val big = leader.job { it.copy(tasks = 1, cpus = 4.0, priority = Priority.CRITICAL) }
+        val largeJob = leader.job { it.copy(tasks = 1, cpus = 4.0, priority = Priority.CRITICAL) }
 
-        fun pass(seconds: Int) =
+        fun advance(seconds: Int) =
             repeat(seconds) {
                 leader.now += 1.seconds
                 val recorded = leader.tasksOn("m").filter { it.recorded }
                 leader.heartbeat("m", *recorded.map(::running).toTypedArray())
                 leader.tick()
             }
-        pass(33)
-        assertEquals(big, leader.machine("m").reservedFor)
-        pass(61)
+        advance(33)
+        assertEquals(largeJob, leader.machine("m").reservedFor)
+        advance(61)
         assertNull(leader.machine("m").reservedFor)
     }
 
     @Test
     fun `a large task is not starved by small ones`() {
-        // Found by the rules test: every gap was filled before a whole machine was free.
-        val small = leader.job { it.copy(tasks = 100, priority = Priority.IDLE) }
+        // Guards against a fault that RulesTest found: every gap was filled before a whole machine was free.
+        val smallTasks = leader.job { it.copy(tasks = 100, priority = Priority.IDLE) }
         leader.heartbeat("m", type = "small")
         leader.dispatch("m")
         leader.write()
-        val late = leader.job { it.copy(tasks = 1, cpus = 4.0, priority = Priority.CRITICAL) }
+        val largeJob = leader.job { it.copy(tasks = 1, cpus = 4.0, priority = Priority.CRITICAL) }
         repeat(60) {
             leader.now += 1.seconds
             val recorded = leader.tasksOn("m").filter { it.recorded }.sortedBy { it.index }
@@ -48,8 +48,8 @@
             leader.tick()
         }
         assertTrue(
-            late.doneCount + late.assigned.size == 1,
-            "placed or done by now; ${small.assigned.size} small ones run",
+            largeJob.doneCount + largeJob.assigned.size == 1,
+            "large task not placed within 60 s; ${smallTasks.assigned.size} small tasks run",
         )
     }
 }
--- a/src/test/kotlin/umberslip/scheduling/SmallTaskLoad.kt
+++ b/src/test/kotlin/umberslip/scheduling/SmallTaskLoad.kt
@@ -5,7 +5,7 @@
 import kotlin.random.Random
 import kotlin.time.Duration.Companion.seconds
 
-/** Jobs of one-processor tasks that come faster, by the factor [overload], than the cluster completes them. */
+/** Submits jobs of one-processor tasks faster, by the factor [overload], than the cluster can complete them. */
 class SmallTaskLoad(
     private val leader: TestScheduler,
     private val cluster: BusyCluster,
@@ -14,17 +14,17 @@
     private val change: (JobSpec) -> JobSpec = { it },
 ) {
     private val random = Random(seed)
-    private var missingCpuSeconds = 0.0
+    private var cpuSecondsToSubmit = 0.0
 
-    /** A second passes: jobs come, and the cluster works. */
+    /** Advances the simulation by one second: submits the jobs that are due, and steps the cluster. */
     fun step() {
         leader.now += 1.seconds
-        missingCpuSeconds += cluster.cpus * overload
-        while (missingCpuSeconds > 0) missingCpuSeconds -= submit()
+        cpuSecondsToSubmit += cluster.cpus * overload
+        while (cpuSecondsToSubmit > 0) cpuSecondsToSubmit -= submit()
         cluster.step()
     }
 
-    /** Returns the processor seconds that the job takes. */
+    /** Submits a job and returns the processor seconds that it takes. */
     private fun submit(): Int {
         val tasks = random.nextInt(10, 60)
         val seconds = random.nextInt(10, 40)
--- a/src/test/kotlin/umberslip/scheduling/StarvationLoadsTest.kt
+++ b/src/test/kotlin/umberslip/scheduling/StarvationLoadsTest.kt
@@ -5,21 +5,22 @@
 import umberslip.core.Priority
 
 /**
- * [StarvationTest]'s scenario with other seeds, loads and sizes.
+ * Runs the scenario of [StarvationTest] with other seeds, loads and sizes.
  *
- * Small tasks filled every gap before it was wide enough for a task of half a machine. The jobs' share of dispatching
- * did not help, since it places only what fits, and at most one machine a team was reserved at a time. Without
- * reservations for large tasks, 5 of 6 tasks of such a job had begun after four minutes with seed 2 of StarvationTest.
+ * Guards against starvation by small tasks, which filled every gap before it was large enough for a task of half a
+ * machine. The share of [StarvationGuard] did not help, since it places only tasks that fit, and at most one machine
+ * was reserved per team. Without reservations for large tasks, only 5 of 6 tasks of such a job had started after four
+ * minutes with seed 2 of StarvationTest.
  */
 class StarvationLoadsTest {
     @Test
-    fun `large tasks begin within four minutes with other seeds`() {
+    fun `large tasks start within four minutes with other seeds`() {
         val late = (7..56).mapNotNull { LargeJobScenario(seed = it).lateJobs() }
         assertEquals(emptyList<String>(), late)
     }
 
     @Test
-    fun `large tasks begin within four minutes under other loads and sizes`() {
+    fun `large tasks start within four minutes under other loads and sizes`() {
         val late =
             (101..120).flatMap { seed ->
                 listOf(
@@ -34,7 +35,7 @@
     }
 }
 
-/** Small tasks come faster than the machines complete them; large jobs come after a minute. */
+/** Small tasks are submitted faster than the machines complete them; large jobs are submitted after a minute. */
 private class LargeJobScenario(
     seed: Int,
     machines: Int = 12,
@@ -48,11 +49,11 @@
     private val smallTasks = SmallTaskLoad(leader, cluster, seed, overload)
     private val description = "seed=$seed machines=$machines overload=$overload tasks=$largeTasks cpus=$largeCpus"
 
-    /** The large jobs that have not begun with all tasks after four minutes; null if there are none. */
+    /** Describes the large jobs that have not started all tasks after four minutes; null if there are none. */
     fun lateJobs(): String? {
         val large = ArrayList<RunningJob>()
-        for (second in 1..(LARGE_AT + WITHIN)) {
-            if (second == LARGE_AT) repeat(largeJobs) { large += submitLargeJob() }
+        for (second in 1..(SUBMIT_LARGE_AT + START_WITHIN)) {
+            if (second == SUBMIT_LARGE_AT) repeat(largeJobs) { large += submitLargeJob() }
             smallTasks.step()
         }
         val late = large.filter { it.assigned.size + it.doneCount < it.spec.tasks }
@@ -72,7 +73,7 @@
         }
 
     private companion object {
-        const val LARGE_AT = 60
-        const val WITHIN = 240
+        const val SUBMIT_LARGE_AT = 60
+        const val START_WITHIN = 240
     }
 }
