--- a/src/main/kotlin/umberslip/scheduling/RunningJob.kt
+++ b/src/main/kotlin/umberslip/scheduling/RunningJob.kt
@@ -205,11 +205,11 @@
     fun nextTask(): Int? {
         if (cancelled || isBlocked) return null
         if (requeued.isNotEmpty()) return requeued.first()
-        while (firstNeverAssigned < spec.tasks && isPlacedOrDone(firstNeverAssigned)) firstNeverAssigned++
+        while (firstNeverAssigned < spec.tasks && isAssignedOrDone(firstNeverAssigned)) firstNeverAssigned++
         return if (firstNeverAssigned < spec.tasks) firstNeverAssigned else null
     }
 
-    private fun isPlacedOrDone(index: Int): Boolean = done.get(index) || assigned.containsKey(index)
+    private fun isAssignedOrDone(index: Int): Boolean = done.get(index) || assigned.containsKey(index)
 
     /** Marks the task as assigned: it is, or may be, on the assignment's machine and no longer waits. */
     fun assign(assignment: Assignment) {
