--- a/src/main/kotlin/umberslip/scheduling/Leader.kt
+++ b/src/main/kotlin/umberslip/scheduling/Leader.kt
@@ -189,7 +189,7 @@
     ) {
         maintenance?.let {
             it.tick(now)
-            if (it.hasLostWorkers(now) && peerHealth() == PeerHealth.SERVED) leaderLease.lostContactWithWorkers(now)
+            if (it.hasLostContact(now) && peerHealth() == PeerHealth.SERVED) leaderLease.lostContactWithWorkers(now)
         }
         dependencyLookups.begin(scheduler, now)
         responder.respondToOverdue(scheduler, now)
--- a/src/main/kotlin/umberslip/scheduling/Maintenance.kt
+++ b/src/main/kotlin/umberslip/scheduling/Maintenance.kt
@@ -38,7 +38,7 @@
     }
 
     /** Whether the leader has lost contact with nearly all workers; asked on every tick, since it must last. */
-    fun hasLostWorkers(now: Duration): Boolean = workerContact.isLost(now)
+    fun hasLostContact(now: Duration): Boolean = workerContact.isLost(now)
 
     /** Moves what can be moved off these draining machines, as [Migration] says. */
     fun migrate(
--- a/src/test/kotlin/umberslip/scheduling/TestScheduler.kt
+++ b/src/test/kotlin/umberslip/scheduling/TestScheduler.kt
@@ -148,7 +148,7 @@
 
     fun tick() = maintenance.tick(now)
 
-    fun hasLostWorkers(): Boolean = maintenance.hasLostWorkers(now)
+    fun hasLostContact(): Boolean = maintenance.hasLostContact(now)
 
     /** The next batch to write, null if none is due. Whatever a leader writes must fail once another is elected. */
     fun batch(): WriteBatch? {
