--- a/src/main/kotlin/umberslip/records/RecordReplica.kt
+++ b/src/main/kotlin/umberslip/records/RecordReplica.kt
@@ -100,7 +100,7 @@
             // Reported, never guessed at: the key is left alone, and its job neither runs nor is forgotten.
             if (malformed.put(entry.key, entry.version) == null) {
                 log.error(
-                    "malformed record left alone: key={} version={} reason={}",
+                    "malformed record neither used nor overwritten: key={} version={} reason={}",
                     entry.key,
                     entry.version.value,
                     e.message,
--- a/src/main/kotlin/umberslip/scheduling/BatchWriter.kt
+++ b/src/main/kotlin/umberslip/scheduling/BatchWriter.kt
@@ -113,13 +113,13 @@
     ) {
         // Without the leader's record this controller does not lead, and nothing is left to resolve.
         if (Keys.LEADER in keys) return
-        log.info("preconditions of a batch failed: keys={}", keys)
+        log.info("preconditions of a batch failed, reading the keys: keys={}", keys)
         resolution.resolve(scheduler, keys)
         refreshRecords()
     }
 
     private suspend fun notCarriedOut(cause: ServiceUnavailableException): TransactionResult? {
-        log.debug("batch not carried out: reason={}", cause.message)
+        log.debug("key-value store refused a batch, retrying: reason={}", cause.message)
         delay(RETRY)
         return null
     }
@@ -129,7 +129,7 @@
         batch: WriteBatch,
         cause: NoResponseException,
     ): TransactionResult? {
-        log.info("outcome of a batch is indeterminate: reason={}", cause.message)
+        log.info("outcome of a batch is indeterminate, resolving it: reason={}", cause.message)
         if (!resolution.fence(scheduler)) return null
         resolution.resolve(scheduler, batch.preconditions.map { it.key }.filter { it != Keys.LEADER })
         return null
--- a/src/main/kotlin/umberslip/scheduling/Leader.kt
+++ b/src/main/kotlin/umberslip/scheduling/Leader.kt
@@ -222,12 +222,16 @@
             is TransactionResult.PreconditionFailed -> {
                 scheduler.writeAheadLog.notApplied(batch)
                 if (Keys.LEADER in result.failed) {
-                    leaderLease.lost("the leader's record is another's")
+                    leaderLease.lost("this controller no longer holds the leader's record")
                     return false
                 }
             }
             is TransactionResult.Rejected -> {
-                log.error("batch rejected for its size or form: writes={} reason={}", batch.writes.size, result.why)
+                log.error(
+                    "batch rejected for its size or form, retrying with smaller batches: writes={} reason={}",
+                    batch.writes.size,
+                    result.why,
+                )
                 scheduler.writeAheadLog.rejected(batch)
             }
             TransactionResult.LeaseExpired, null -> scheduler.writeAheadLog.notApplied(batch)
--- a/src/main/kotlin/umberslip/scheduling/RecordLoader.kt
+++ b/src/main/kotlin/umberslip/scheduling/RecordLoader.kt
@@ -67,7 +67,7 @@
     ) {
         if (!job.covers(number, record.value)) {
             val key = Keys.progress(job.spec.id, number)
-            log.error("malformed record left alone: key={} reason=it names tasks of other blocks", key)
+            log.error("malformed record neither used nor overwritten: key={} reason=tasks outside its block", key)
             job.isUnreadable = true
             return
         }
--- a/src/main/kotlin/umberslip/scheduling/RecordResolution.kt
+++ b/src/main/kotlin/umberslip/scheduling/RecordResolution.kt
@@ -32,7 +32,7 @@
         try {
             if (version == null) absent(key) else present(key, version, data)
         } catch (e: MalformedMessageException) {
-            log.error("malformed record left alone: key={} reason={}", key, e.message)
+            log.error("malformed record neither used nor overwritten: key={} reason={}", key, e.message)
             val job = Keys.asJob(key) ?: Keys.asProgress(key)?.job
             jobs[job]?.let(::suspendUnreadable)
             writeAheadLog.leaveAlone(key)
--- a/src/main/kotlin/umberslip/scheduling/WriteResolution.kt
+++ b/src/main/kotlin/umberslip/scheduling/WriteResolution.kt
@@ -43,7 +43,7 @@
             try {
                 return tryFence(scheduler, held)
             } catch (e: ServiceException) {
-                log.debug("earlier writes not fenced yet: reason={}", e.message)
+                log.debug("cannot fence earlier writes, retrying: reason={}", e.message)
             }
             delay(RETRY)
         }
@@ -77,7 +77,7 @@
     ): Boolean {
         val entry = store.get(Keys.LEADER)
         if (entry != null && isRecord(record, entry)) return fenced(scheduler, entry.version)
-        leaderLease.lost("the leader's record is another's")
+        leaderLease.lost("this controller no longer holds the leader's record")
         return false
     }
 
@@ -88,7 +88,7 @@
         try {
             LeaderRecord.parse(entry.data) == record
         } catch (e: MalformedMessageException) {
-            log.error("malformed record left alone: key={} reason={}", entry.key, e.message)
+            log.error("malformed record neither used nor overwritten: key={} reason={}", entry.key, e.message)
             false
         }
 
@@ -120,7 +120,7 @@
                 scheduler.resolve(key, entry?.version, entry?.data)
                 return
             } catch (e: ServiceException) {
-                if (failures++ == 0) log.info("key of unresolved write not read yet: key={} reason={}", key, e.message)
+                if (failures++ == 0) log.info("cannot read unresolved key, retrying: key={} reason={}", key, e.message)
             }
             delay(RETRY)
         }
--- a/src/test/kotlin/umberslip/scheduling/FormerTermBatchTest.kt
+++ b/src/test/kotlin/umberslip/scheduling/FormerTermBatchTest.kt
@@ -48,12 +48,12 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * A leader that loses and regains its place while a batch is being written.
+ * A leader that loses and regains leadership while a batch is being written.
  *
- * The outcome of the former term's batch was applied to the state of the new term, which did not write it. A batch
- * that fails on the leader's record, as one of a former term does, cost the new term its leadership
- * (`leadership lost: … the leader's record is another's`). A batch that was applied passed its versions, and the
- * machines whose lease renewal it revoked, to a state for which neither holds.
+ * The tests guard against applying the outcome of a former term's batch to the state of the new term, which did not
+ * write the batch. A batch that fails on the leader's record, as one of a former term does, cost the new term its
+ * leadership (`leadership lost: … this controller no longer holds the leader's record`). A batch that was applied
+ * passed its versions, and the machines whose lease renewal it revoked, to a state for which they were not valid.
  */
 @OptIn(ExperimentalCoroutinesApi::class)
 class FormerTermBatchTest {
