--- a/src/main/kotlin/umberslip/scheduling/BatchComposer.kt
+++ b/src/main/kotlin/umberslip/scheduling/BatchComposer.kt
@@ -4,7 +4,7 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** Chooses what goes into the next batch, the most needed first. Used for one batch. */
+/** Composes the next batch, the most urgent writes first. An instance composes one batch only. */
 internal class BatchComposer(
     private val transaction: TransactionBuilder,
     private val pending: PendingWrites,
@@ -12,39 +12,46 @@
     private val now: Duration,
 ) {
     /**
-     * Adds all that is due and fits: revoked renewals, finished jobs, entries of the log, progress records, deletions.
+     * Adds all writes that are due and fit, in this order: revoked renewals, finished jobs, log entries, progress
+     * records and deletions.
      *
-     * @param machines those that the leader knows; lease renewal is revoked for no others
-     * @param maxLogPreconditions see [LogComposer]
+     * @param knownMachines the machines that the leader knows; lease renewal is revoked only for these
+     * @param maxLogPreconditions the limit of preconditions for [LogComposer]
      */
     fun compose(
         revokedRenewals: RevokedRenewals,
-        machines: Set<MachineName>,
+        knownMachines: Set<MachineName>,
         maxLogPreconditions: Int,
     ) {
-        revokedRenewals.addTo(transaction, machines)
+        revokedRenewals.addTo(transaction, knownMachines)
         addFinishedJobs()
-        val mayProgressWait = LogComposer(transaction, pending, slots, maxLogPreconditions, now).compose()
-        addProgress(mayProgressWait)
+        val mayDelayProgress = LogComposer(transaction, pending, slots, maxLogPreconditions, now).compose()
+        addProgress(mayDelayProgress)
         addDeletions()
     }
 
-    /** Where few writes fit, finished jobs must not keep starts waiting. */
+    /**
+     * Adds finished jobs. While starts are pending, finished jobs may fill only about half of the writes. Otherwise
+     * starts would have to wait for them where few writes fit into a transaction.
+     */
     private fun addFinishedJobs() {
         val maxWrites = transaction.limits.maxWrites
-        val halfOfWrites = maxOf(TransactionBuilder.FINISHED_JOB_WRITES, maxWrites / 2)
-        val maxFinishedJobWrites = if (pending.starts.isEmpty()) maxWrites else halfOfWrites
+        val maxWritesWithStarts = maxOf(TransactionBuilder.FINISHED_JOB_WRITES, maxWrites / 2)
+        val maxFinishedJobWrites = if (pending.starts.isEmpty()) maxWrites else maxWritesWithStarts
         for (job in pending.finishedJobs) {
             if (!transaction.hasSpaceForFinishedJob(maxFinishedJobWrites)) return
-            transaction.finish(job)
+            transaction.finishJob(job)
         }
     }
 
-    /** A progress record that waits takes fewer writes; without enough free slots it is written to make some free. */
-    private fun addProgress(mayWait: Boolean) {
+    /**
+     * Adds progress records. With [mayDelay], only those are added that have waited long enough, since later records
+     * cover more edits and so need fewer writes. Without it, records are added at once, to free slots of the log.
+     */
+    private fun addProgress(mayDelay: Boolean) {
         for (block in pending.unflushedBlocks) {
             if (transaction.isFull) return
-            if (mayWait && (block.unflushedSince ?: now) + MAX_FLUSH_DELAY > now) return
+            if (mayDelay && (block.unflushedSince ?: now) + MAX_FLUSH_DELAY > now) return
             if (!block.job.isTerminal && !block.job.isUnreadable) addProgress(block)
         }
     }
@@ -52,7 +59,8 @@
     private fun addProgress(block: ProgressBlock) {
         val record = block.job.progressRecord(block, slots.sequenceNumber)
         val recordBytes = record.bytes
-        // Its range was cut by a former, larger limit: it stays in the log, and fits once more of its tasks are done.
+        // The block was sized for an earlier, larger limit. Its edits stay in the log, and its record fits once more of
+        // its tasks are done.
         if (recordBytes > transaction.limits.valueBytes) return
         transaction.putProgress(block, record, recordBytes)
         for (placement in record.placed) {
@@ -68,7 +76,7 @@
     }
 
     private companion object {
-        /** A progress record is written this long after its oldest edit, if its job is not terminal by then. */
+        /** A progress record is due this long after the block's oldest unflushed edit, unless its job is terminal. */
         val MAX_FLUSH_DELAY = 20.seconds
     }
 }
--- a/src/main/kotlin/umberslip/scheduling/BatchWriter.kt
+++ b/src/main/kotlin/umberslip/scheduling/BatchWriter.kt
@@ -20,16 +20,16 @@
 
 /**
  * Writes the batches of the write-ahead log, one at a time and no faster than the key-value store allows. Confined to
- * the leader actor, to which [send] sends what became of each.
+ * the leader actor, which receives the outcome of each batch through [send].
  */
 internal class BatchWriter(
     private val scope: CoroutineScope,
     private val limits: StoreSettings,
     private val store: KeyValueStore,
-    private val writes: RateLimiter,
+    private val writeRateLimiter: RateLimiter,
     private val leaderLease: LeaderLease,
     private val resolution: WriteResolution,
-    /** Has the records read soon, where they show what this controller does not know. */
+    /** Makes this controller read the records soon; called if a precondition shows that its copy is out of date. */
     private val refreshRecords: () -> Unit,
     private val send: (LeaderMessage) -> Unit,
 ) {
@@ -38,44 +38,47 @@
     private var flushTimer: Job? = null
     private var lastBatchAt = Duration.ZERO
 
-    /** Batches are no closer than this, however many writes are allowed: each is read by every controller. */
+    /** The least time between batches, whatever the write rate, since every controller reads each batch. */
     private val minBatchInterval = maxOf(MIN_BATCH_INTERVAL, (MIN_WRITES / limits.writeRps).seconds)
 
-    /** Begins to write the next batch, unless one is being written; later if the rate does not allow it now. */
+    /**
+     * Starts to write the next batch, unless a batch is being written or the leader may not write. If the rate does not
+     * allow a batch yet, sends [LeaderMessage.Flush] once it does.
+     */
     fun flush(
         scheduler: SchedulerState,
         now: Duration,
     ) {
         if (isWriting || !leaderLease.mayStart(now)) return
-        // Batches that wait for the rate hold more.
-        val wait = maxOf(writes.wait(MIN_WRITES), lastBatchAt + minBatchInterval - now)
+        // The batch is composed only after the wait, so that it holds the writes that become due during the wait.
+        val wait = maxOf(writeRateLimiter.wait(MIN_WRITES), lastBatchAt + minBatchInterval - now)
         if (wait > Duration.ZERO) {
             flushAfter(wait)
             return
         }
-        val maxWrites = minOf(limits.transactionOps, writes.available().coerceAtLeast(MIN_WRITES))
+        val maxWrites = minOf(limits.transactionOps, writeRateLimiter.available().coerceAtLeast(MIN_WRITES))
         val batch = scheduler.writeAheadLog.nextBatch(maxWrites, scheduler.machines.keys, now) ?: return
         isWriting = true
         lastBatchAt = now
         scope.launch {
             var result: TransactionResult? = null
-            var isKnown = false
+            var isOutcomeKnown = false
             try {
-                writes.take(batch.writes.size, urgent = true)
+                writeRateLimiter.take(batch.writes.size, urgent = true)
                 result = write(scheduler, batch)
-                isKnown = true
+                isOutcomeKnown = true
             } finally {
-                // After an unexpected failure the next leader finds out what became of the batch. Without the message
-                // nothing would ever be written again.
-                val isCurrent = leaderLease.term == scheduler.term
-                if (!isKnown && isCurrent) leaderLease.lost("the outcome of a batch is unknown")
+                // After an unexpected failure this leader gives up its leadership, and the next one finds out whether
+                // the batch was applied. The message is sent in any case, or no further batch would ever be written.
+                val isCurrentTerm = leaderLease.term == scheduler.term
+                if (!isOutcomeKnown && isCurrentTerm) leaderLease.lost("the outcome of a batch is unknown")
                 send(LeaderMessage.WriteCompleted(scheduler, batch, result))
             }
         }
     }
 
-    /** The leader received the last batch's [LeaderMessage.WriteCompleted]. */
-    fun completed() {
+    /** Allows the next batch; called when the leader receives [LeaderMessage.WriteCompleted] for the last one. */
+    fun writeCompleted() {
         isWriting = false
     }
 
@@ -89,42 +92,45 @@
             }
     }
 
-    /** Null where the batch was not applied, or its outcome was indeterminate and is resolved. */
+    /**
+     * Writes the batch. Returns null if the batch was not applied, or if its outcome was indeterminate and has been
+     * resolved.
+     */
     private suspend fun write(
         scheduler: SchedulerState,
         batch: WriteBatch,
     ): TransactionResult? =
         try {
             val result = store.compareAndSwap(batch.preconditions, batch.writes)
-            if (result is TransactionResult.PreconditionFailed) preconditionFailed(scheduler, result.failed)
+            if (result is TransactionResult.PreconditionFailed) resolveFailedPreconditions(scheduler, result.failed)
             result
         } catch (e: RateLimitedException) {
-            writes.lower()
-            notCarriedOut(e)
+            writeRateLimiter.lower()
+            delayAfterRefusal(e)
         } catch (e: ServiceUnavailableException) {
-            notCarriedOut(e)
+            delayAfterRefusal(e)
         } catch (e: NoResponseException) {
-            outcomeIndeterminate(scheduler, batch, e)
+            resolveIndeterminateOutcome(scheduler, batch, e)
         }
 
-    private suspend fun preconditionFailed(
+    private suspend fun resolveFailedPreconditions(
         scheduler: SchedulerState,
         keys: List<String>,
     ) {
-        // Without the leader's record this controller does not lead, and nothing is left to resolve.
+        // If the leader's record has changed, this controller no longer leads, and there is nothing to resolve.
         if (Keys.LEADER in keys) return
         log.info("preconditions of a batch failed, reading the keys: keys={}", keys)
         resolution.resolve(scheduler, keys)
         refreshRecords()
     }
 
-    private suspend fun notCarriedOut(cause: ServiceUnavailableException): TransactionResult? {
+    private suspend fun delayAfterRefusal(cause: ServiceUnavailableException): TransactionResult? {
         log.debug("key-value store refused a batch, retrying: reason={}", cause.message)
-        delay(RETRY)
+        delay(RETRY_DELAY)
         return null
     }
 
-    private suspend fun outcomeIndeterminate(
+    private suspend fun resolveIndeterminateOutcome(
         scheduler: SchedulerState,
         batch: WriteBatch,
         cause: NoResponseException,
@@ -136,7 +142,7 @@
     }
 
     private companion object {
-        val RETRY = 200.milliseconds
+        val RETRY_DELAY = 200.milliseconds
 
         /** A batch waits until the rate allows at least this many writes. */
         const val MIN_WRITES = 3
--- a/src/main/kotlin/umberslip/scheduling/DependencyLookups.kt
+++ b/src/main/kotlin/umberslip/scheduling/DependencyLookups.kt
@@ -13,32 +13,32 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Reads the outcomes of jobs that others depend on and that are not among the unfinished ones, one by one. An outcome
- * never changes. Confined to the leader actor, to which [send] sends what was read.
+ * Reads the outcomes of jobs that others depend on and that are not among the unfinished ones, each by a request of its
+ * own. An outcome never changes. Confined to the leader actor, which receives each outcome through [send].
  */
 internal class DependencyLookups(
     private val scope: CoroutineScope,
     private val store: KeyValueStore,
     private val send: (LeaderMessage) -> Unit,
 ) {
-    private val lastLookups = HashMap<JobId, Duration>()
+    private val lastLookupTimes = HashMap<JobId, Duration>()
 
-    /** Forgets which outcomes were asked for. */
-    fun clear() = lastLookups.clear()
+    /** Forgets which outcomes were requested. */
+    fun clear() = lastLookupTimes.clear()
 
-    /** Begins to read the outcomes that [scheduler] needs and that were not asked for lately. */
-    fun begin(
+    /** Starts to read the outcomes that [scheduler] needs and that were not requested recently. */
+    fun startLookups(
         scheduler: SchedulerState,
         now: Duration,
     ) {
         val unread = scheduler.dependencyGraph.unread
         if (unread.isEmpty()) {
-            lastLookups.clear()
+            lastLookupTimes.clear()
             return
         }
-        for (id in unread.filter { isDue(it, now) }.take(MAX_AT_ONCE)) {
-            lastLookups[id] = now
-            scope.launch { send(LeaderMessage.OutcomeRead(scheduler, id, read(id))) }
+        for (id in unread.filter { isDue(it, now) }.take(MAX_LOOKUPS_AT_ONCE)) {
+            lastLookupTimes[id] = now
+            scope.launch { send(LeaderMessage.OutcomeRead(scheduler, id, readOutcome(id))) }
         }
     }
 
@@ -46,23 +46,23 @@
         id: JobId,
         now: Duration,
     ): Boolean {
-        val last = lastLookups[id] ?: return true
-        return now - last >= RETRY
+        val last = lastLookupTimes[id] ?: return true
+        return now - last >= RETRY_INTERVAL
     }
 
-    private suspend fun read(id: JobId): JobOutcome? =
+    private suspend fun readOutcome(id: JobId): JobOutcome? =
         try {
             store.get(Keys.outcome(id))?.parseRecord(OutcomeRecord::parse)?.end
         } catch (_: ServiceException) {
-            // Asked for again after a while, as one that does not exist yet.
+            // The outcome is requested again later, like one that does not exist yet.
             null
         }
 
     private companion object {
-        /** After this long an outcome that could not be read, or did not exist yet, is asked for again. */
-        val RETRY = 2.seconds
+        /** An outcome that could not be read, or did not exist yet, is requested again after this time. */
+        val RETRY_INTERVAL = 2.seconds
 
-        /** Leaves the key-value store's rate to reads of the records. */
-        const val MAX_AT_ONCE = 10
+        /** The most lookups that start together, so that the request rate is left to reads of the records. */
+        const val MAX_LOOKUPS_AT_ONCE = 10
     }
 }
--- a/src/main/kotlin/umberslip/scheduling/Leader.kt
+++ b/src/main/kotlin/umberslip/scheduling/Leader.kt
@@ -24,10 +24,11 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * The leader's actor: workers' heartbeats in, commands and records out.
+ * The actor of the leader: receives the workers' heartbeats, responds with commands, and writes the records.
  *
- * It owns the [SchedulerState] of its term, which makes the decisions, and has none while this controller does not
- * lead. What waits for the key-value store runs beside it and sends a message when it is done.
+ * The actor owns the [SchedulerState] of the current term, which makes the scheduling decisions. There is none while
+ * this controller does not lead. Requests to the key-value store run in coroutines of their own, which send the actor a
+ * message when they are done.
  */
 class Leader(
     private val scope: CoroutineScope,
@@ -35,7 +36,7 @@
     private val tuning: Tuning,
     private val timings: Timings,
     store: KeyValueStore,
-    writes: RateLimiter,
+    writeRateLimiter: RateLimiter,
     private val clock: Clock,
     private val wallClock: () -> Instant,
     private val leaderLease: LeaderLease,
@@ -52,14 +53,16 @@
     private val dependencyLookups = DependencyLookups(scope, store) { enqueue(it) }
     private val resolution = WriteResolution(settings.member, store, leaderLease) { it === scheduler }
     private val batchWriter =
-        BatchWriter(scope, settings.storeLimits, store, writes, leaderLease, resolution, refreshRecords) { enqueue(it) }
-    private val batches = metrics.counter("umberslip.batches")
-    private val written = metrics.counter("umberslip.writes")
+        BatchWriter(scope, settings.storeLimits, store, writeRateLimiter, leaderLease, resolution, refreshRecords) {
+            enqueue(it)
+        }
+    private val batchCounter = metrics.counter("umberslip.batches")
+    private val writeCounter = metrics.counter("umberslip.writes")
 
     override fun start(): Job {
         scope.launch {
             while (true) {
-                delay(TICK)
+                delay(TICK_INTERVAL)
                 trySend(LeaderMessage.Tick)
             }
         }
@@ -69,14 +72,14 @@
     override suspend fun receive(message: LeaderMessage) {
         val now = clock.now()
         when (message) {
-            is LeaderMessage.HeartbeatReceived -> heartbeatReceived(message, now)
-            is LeaderMessage.Elected -> elected(message, now)
-            LeaderMessage.SteppedDown -> steppedDown()
-            is LeaderMessage.RecordsChanged -> scheduler?.let { recordsChanged(it, message.events, now) }
-            is LeaderMessage.InstanceTypesChanged -> instanceTypesChanged(message.all)
-            is LeaderMessage.WriteCompleted -> writeCompleted(message, now)
+            is LeaderMessage.HeartbeatReceived -> onHeartbeatReceived(message, now)
+            is LeaderMessage.Elected -> onElected(message, now)
+            LeaderMessage.SteppedDown -> onSteppedDown()
+            is LeaderMessage.RecordsChanged -> scheduler?.let { onRecordsChanged(it, message.events, now) }
+            is LeaderMessage.InstanceTypesChanged -> onInstanceTypesChanged(message.instanceTypes)
+            is LeaderMessage.WriteCompleted -> onWriteCompleted(message, now)
             is LeaderMessage.ContinueDispatch -> continueDispatch(message, now)
-            is LeaderMessage.OutcomeRead -> outcomeRead(message, now)
+            is LeaderMessage.OutcomeRead -> onOutcomeRead(message, now)
             LeaderMessage.Tick -> scheduler?.let { tick(it, now) }
             LeaderMessage.Flush -> scheduler?.let { batchWriter.flush(it, now) }
             is LeaderMessage.TakeSnapshot -> takeSnapshot(message, now)
@@ -88,29 +91,29 @@
 
     // ---- leadership ----
 
-    private fun elected(
+    private fun onElected(
         message: LeaderMessage.Elected,
         now: Duration,
     ) {
         val held = leaderLease.held ?: return
         val observer = termListener.elected(held.term, now)
-        val elected =
+        val newState =
             SchedulerState(settings, timings, held.term, held.version, wallClock, reconciliationObserver = observer)
-        elected.setInstanceTypes(instanceTypes)
-        elected.load(message.records, now, message.formerLeaseExpiry)
-        scheduler = elected
+        newState.setInstanceTypes(instanceTypes)
+        newState.load(message.records, now, message.formerLeaseExpiry)
+        scheduler = newState
         dependencyLookups.clear()
-        dependencyLookups.begin(elected, now)
-        maintenance = Maintenance(elected, settings, timings)
+        dependencyLookups.startLookups(newState, now)
+        maintenance = Maintenance(newState, settings, timings)
         log.info(
             "leadership began: term={} jobs={} machines_with_recorded_tasks={}",
             held.term.value,
-            elected.jobs.size,
-            elected.machines.size,
+            newState.jobs.size,
+            newState.machines.size,
         )
     }
 
-    private fun steppedDown() {
+    private fun onSteppedDown() {
         scheduler?.let { log.warn("leadership ended: term={}", it.term.value) }
         scheduler = null
         maintenance = null
@@ -118,9 +121,9 @@
         responder.refuseAll()
     }
 
-    // ---- what others report ----
+    // ---- reports from other components ----
 
-    private fun recordsChanged(
+    private fun onRecordsChanged(
         scheduler: SchedulerState,
         events: List<RecordEvent>,
         now: Duration,
@@ -133,16 +136,16 @@
                 is RecordEvent.LeaderChanged -> Unit
             }
         }
-        dependencyLookups.begin(scheduler, now)
+        dependencyLookups.startLookups(scheduler, now)
         scheduler.inheritPriorities(now)
     }
 
-    private fun instanceTypesChanged(all: List<InstanceType>) {
-        instanceTypes = all
-        scheduler?.setInstanceTypes(all)
+    private fun onInstanceTypesChanged(newTypes: List<InstanceType>) {
+        instanceTypes = newTypes
+        scheduler?.setInstanceTypes(newTypes)
     }
 
-    private fun outcomeRead(
+    private fun onOutcomeRead(
         message: LeaderMessage.OutcomeRead,
         now: Duration,
     ) {
@@ -152,7 +155,7 @@
 
     // ---- heartbeats and dispatch ----
 
-    private fun heartbeatReceived(
+    private fun onHeartbeatReceived(
         message: LeaderMessage.HeartbeatReceived,
         now: Duration,
     ) {
@@ -161,7 +164,10 @@
         continueDispatch(LeaderMessage.ContinueDispatch(heartbeat.machineName, heartbeat.heartbeatVersion), now)
     }
 
-    /** One round of dispatch to a machine; what the time limit cuts off goes on after other messages had their turn. */
+    /**
+     * Runs one round of dispatch to a machine. If the round exceeds its time budget, it continues after the messages
+     * that are in the mailbox by then.
+     */
     private fun continueDispatch(
         message: LeaderMessage.ContinueDispatch,
         now: Duration,
@@ -170,8 +176,8 @@
         val machine = scheduler.machines[message.machineName] ?: return
         if (machine.heartbeatVersion != message.heartbeatVersion) return
         if (leaderLease.mayStart(now)) {
-            val end = now + tuning.roundBudget
-            if (!scheduler.dispatch(machine, now) { clock.now() > end }) {
+            val deadline = now + tuning.roundBudget
+            if (!scheduler.dispatch(machine, now) { clock.now() > deadline }) {
                 enqueue(message)
                 return
             }
@@ -191,7 +197,7 @@
             it.tick(now)
             if (it.hasLostContact(now) && peerHealth() == PeerHealth.SERVED) leaderLease.lostContactWithWorkers(now)
         }
-        dependencyLookups.begin(scheduler, now)
+        dependencyLookups.startLookups(scheduler, now)
         responder.respondToOverdue(scheduler, now)
         batchWriter.flush(scheduler, now)
         statusLog.update(now)
@@ -199,26 +205,26 @@
 
     // ---- writes ----
 
-    private fun writeCompleted(
+    private fun onWriteCompleted(
         message: LeaderMessage.WriteCompleted,
         now: Duration,
     ) {
-        batchWriter.completed()
+        batchWriter.writeCompleted()
         val scheduler = scheduler ?: return
-        // The outcome of a batch of a former term says nothing about this state, which loaded the records since.
-        if (message.scheduler === scheduler && !takeOutcome(scheduler, message.batch, message.result, now)) return
+        // The current state did not write a batch of a former term, and has loaded the records since then.
+        if (message.scheduler === scheduler && !handleOutcome(scheduler, message.batch, message.result, now)) return
         batchWriter.flush(scheduler, clock.now())
     }
 
-    /** False where the batch failed since this controller does not lead any more. */
-    private fun takeOutcome(
+    /** Handles the outcome of a batch. Returns false if the batch failed because this controller no longer leads. */
+    private fun handleOutcome(
         scheduler: SchedulerState,
         batch: WriteBatch,
         result: TransactionResult?,
         now: Duration,
     ): Boolean {
         when (result) {
-            is TransactionResult.Applied -> applied(scheduler, batch, result, now)
+            is TransactionResult.Applied -> onBatchApplied(scheduler, batch, result, now)
             is TransactionResult.PreconditionFailed -> {
                 scheduler.writeAheadLog.notApplied(batch)
                 if (Keys.LEADER in result.failed) {
@@ -239,14 +245,14 @@
         return true
     }
 
-    private fun applied(
+    private fun onBatchApplied(
         scheduler: SchedulerState,
         batch: WriteBatch,
         result: TransactionResult.Applied,
         now: Duration,
     ) {
-        batches.increment()
-        written.increment(batch.writes.size.toDouble())
+        batchCounter.increment()
+        writeCounter.increment(batch.writes.size.toDouble())
         for (name in scheduler.applied(batch, result.version, now)) {
             val machine = scheduler.machines[name] ?: continue
             if (!scheduler.hasUnrecorded(machine)) responder.respond(scheduler, machine, now)
@@ -269,15 +275,18 @@
         now: Duration,
     ) {
         scheduler.machines.values.forEach { it.isDraining = it.name in message.machineNames }
-        maintenance?.migrate(scheduler.machines.values.filter { it.name in message.emptied }, now)
+        maintenance?.migrate(scheduler.machines.values.filter { it.name in message.machinesToEmpty }, now)
     }
 
     private fun prepareTermination(message: LeaderMessage.PrepareTermination) {
-        message.answer(message.machineNames.filter { mayTerminate(it, message.evenIfBusy) })
+        message.answer(message.machineNames.filter { markTerminatingIfAllowed(it, message.evenIfBusy) })
     }
 
-    /** If so, nothing more is sent to the machine. */
-    private fun mayTerminate(
+    /**
+     * Marks the machine as terminating unless it has tasks and [evenIfBusy] is false; no commands are sent to it from
+     * then on. Returns whether the machine may be terminated, as a machine that the leader does not know always may.
+     */
+    private fun markTerminatingIfAllowed(
         name: MachineName,
         evenIfBusy: Boolean,
     ): Boolean {
@@ -288,7 +297,7 @@
     }
 
     private companion object {
-        /** A fraction of the shortest time that maintenance and overdue responses go by. */
-        val TICK = 200.milliseconds
+        /** A fraction of the shortest time-out that maintenance and the pending responses have. */
+        val TICK_INTERVAL = 200.milliseconds
     }
 }
--- a/src/main/kotlin/umberslip/scheduling/LeaderMessage.kt
+++ b/src/main/kotlin/umberslip/scheduling/LeaderMessage.kt
@@ -16,7 +16,10 @@
 sealed interface LeaderMessage {
     // ---- from workers ----
 
-    /** A worker's heartbeat. [respond] is called at most once; not for a machine that is terminated meanwhile. */
+    /**
+     * A worker sent a heartbeat. [respond] is called at most once, and may not be called at all if the machine is
+     * terminated in the meantime.
+     */
     class HeartbeatReceived(
         val heartbeat: Heartbeat,
         val respond: (Response) -> Unit,
@@ -24,43 +27,49 @@
 
     // ---- from leader election ----
 
-    /** This controller leads; see [umberslip.leadership.LeadershipListener.elected]. */
+    /** This controller was elected as the leader; see [umberslip.leadership.LeadershipListener.elected]. */
     class Elected(
         val records: RecordView,
         val formerLeaseExpiry: Duration,
     ) : LeaderMessage
 
-    /** This controller does not lead any more. */
+    /** This controller is no longer the leader. */
     data object SteppedDown : LeaderMessage
 
     // ---- from the record watcher ----
 
-    /** Records changed, in this order. */
+    /** Records changed; [events] are in the order of the changes. */
     class RecordsChanged(
         val events: List<RecordEvent>,
     ) : LeaderMessage
 
     // ---- from provisioning ----
 
-    /** The cloud's instance types, all of them. */
+    /** The cloud offers these [instanceTypes] now, and no others. */
     class InstanceTypesChanged(
-        val all: List<InstanceType>,
+        val instanceTypes: List<InstanceType>,
     ) : LeaderMessage
 
-    /** Asks for what the provisioner plans from: null while not leading. The answer also says how long it took. */
+    /**
+     * Asks for the snapshot that the provisioner plans from. [answer] receives the snapshot, which is null while this
+     * controller does not lead, and the time that it took to create.
+     */
     class TakeSnapshot(
         val answer: (ClusterSnapshot?, Duration) -> Unit,
     ) : LeaderMessage
 
-    /** [machineNames] get no new tasks, all others may; from [emptied] tasks that save checkpoints migrate. */
+    /**
+     * Stops the placement of new tasks on [machineNames] and allows it on all other machines. Tasks that save
+     * checkpoints are migrated off [machinesToEmpty] where possible.
+     */
     class Drain(
         val machineNames: Set<MachineName>,
-        val emptied: Set<MachineName>,
+        val machinesToEmpty: Set<MachineName>,
     ) : LeaderMessage
 
     /**
-     * Asks which of [machineNames] may be terminated: those without tasks, or all of them if [evenIfBusy]. These get no
-     * more responses.
+     * Asks which of [machineNames] may be terminated: those without tasks, or all of them if [evenIfBusy]. No commands
+     * are sent to the machines in the answer from then on.
      */
     class PrepareTermination(
         val machineNames: Set<MachineName>,
@@ -73,11 +82,11 @@
         val machineNames: List<MachineName>,
     ) : LeaderMessage
 
-    // ---- from the leader's own parts ----
+    // ---- from the leader's own components ----
 
     /**
-     * The write of [batch] ended; [result] is null where it was not applied, or its outcome was resolved. It concerns
-     * [scheduler] alone, which may be that of a former term.
+     * The write of [batch] ended. [result] is null if the batch was not applied, or if its outcome was indeterminate
+     * and has been resolved. The result concerns only [scheduler], which may be the state of a former term.
      */
     class WriteCompleted(
         val scheduler: SchedulerState,
@@ -85,22 +94,25 @@
         val result: TransactionResult?,
     ) : LeaderMessage
 
-    /** Dispatch to this machine goes on, unless it sent a newer heartbeat meanwhile. */
+    /** Continues dispatch to a machine, unless it has sent a heartbeat newer than [heartbeatVersion]. */
     class ContinueDispatch(
         val machineName: MachineName,
         val heartbeatVersion: HeartbeatVersion,
     ) : LeaderMessage
 
-    /** The outcome of a job that others depend on, for the state that asked; null where it could not be read. */
+    /**
+     * The outcome of a job that others depend on was read for [scheduler]. [outcome] is null if it could not be read or
+     * does not exist yet.
+     */
     class OutcomeRead(
         val scheduler: SchedulerState,
         val id: JobId,
         val outcome: JobOutcome?,
     ) : LeaderMessage
 
-    /** Time passes. */
+    /** Sent several times a second, for work that becomes due with time. */
     data object Tick : LeaderMessage
 
-    /** The next batch may be written. */
+    /** The write rate allows the next batch. */
     data object Flush : LeaderMessage
 }
--- a/src/main/kotlin/umberslip/scheduling/LeaderStatusLog.kt
+++ b/src/main/kotlin/umberslip/scheduling/LeaderStatusLog.kt
@@ -6,20 +6,23 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** Logs what the leader's right to act rests on: at every change of its permission to start tasks, and regularly. */
+/**
+ * Logs the leader's permissions, and the ages of the lease renewal and of the read of the records that they depend on.
+ * A line is logged whenever the permission to start tasks changes, and at a regular interval.
+ */
 internal class LeaderStatusLog(
     private val leaderLease: LeaderLease,
     private val log: Logger,
 ) {
     private var permission = Permission.NOT_LEADING
-    private var loggedAt = Duration.ZERO
+    private var lastLoggedAt = Duration.ZERO
 
-    /** Called often while this controller leads. */
+    /** Logs a line if one is due; called on every tick while this controller leads. */
     fun update(now: Duration) {
         val current = leaderLease.permissionToStart(now)
-        if (current == permission && now - loggedAt < INTERVAL) return
+        if (current == permission && now - lastLoggedAt < LOG_INTERVAL) return
         permission = current
-        loggedAt = now
+        lastLoggedAt = now
         log.info(
             "leader status: term={} starts={} answers={} lease_renewed_ago={} records_read_ago={}",
             leaderLease.term?.value,
@@ -31,6 +34,6 @@
     }
 
     private companion object {
-        val INTERVAL = 10.seconds
+        val LOG_INTERVAL = 10.seconds
     }
 }
--- a/src/main/kotlin/umberslip/scheduling/LogCompaction.kt
+++ b/src/main/kotlin/umberslip/scheduling/LogCompaction.kt
@@ -6,13 +6,13 @@
 import umberslip.records.Placement
 
 /**
- * Copies all that the log has to hold of a progress block into as few entries as possible.
+ * Copies everything that the log has to hold for a progress block into as few entries as possible.
  *
- * A progress record may be larger than a value while most of its tasks run, since progress blocks are cut by the
- * first of the key-value store's limits. Until it fits, every log entry that names the progress block is retained. A
- * copy of all that those entries still say makes them free. It is an ordinary entry of the log, which every version
- * reads: later entries win over earlier ones, and a start whose task exited meanwhile is reconciled with its machine's
- * next heartbeat.
+ * A progress record may be larger than a value while most of its tasks run, since the size of progress blocks follows
+ * the first of the key-value store's limits. Until the record fits, every log entry that affects the block is retained.
+ * A copy of everything that is still valid in those entries frees them. The copy consists of ordinary log entries,
+ * which every version reads: later entries take precedence over earlier ones, and a start whose task has exited
+ * meanwhile is reconciled with the next heartbeat of its machine.
  */
 internal class LogCompaction(
     block: ProgressBlock,
@@ -26,18 +26,21 @@
             .filter { job.isDone(it) && !block.storedDone[it - firstIndex] }
             .map { LoggedExit(it, ANY_ATTEMPT, true) }
 
-    /** The highest attempt number ever logged must stay readable, since numbers only rise. */
-    private val lastLogged = block.lastLogged?.takeIf { last -> starts.none { it.attempt >= last.attempt } }
+    /**
+     * The logged start with the highest attempt number, which must remain in the log since attempt numbers only rise.
+     * Null if one of [starts] has at least that number.
+     */
+    private val lastLoggedStart = block.lastLoggedStart?.takeIf { last -> starts.none { it.attempt >= last.attempt } }
 
     private fun placementOf(start: Assignment) = Placement(start.index, start.attempt, start.machineName)
 
-    /** The rows of the block's job, each for an entry of its own that fits into a value of [valueBytes]. */
+    /** Returns the rows of the block's job, each for a log entry of its own that fits into a value of [valueBytes]. */
     fun rows(valueBytes: Int): List<LogRow> {
         val rows = RowSequence(valueBytes - LogRecord.FIXED_BYTES - LogRecord.bytes(job.spec.id))
-        for (start in listOfNotNull(lastLogged) + starts) rows.withSpace(LogRecord.bytes(start)).starts += start
+        for (start in listOfNotNull(lastLoggedStart) + starts) rows.rowWithSpace(LogRecord.bytes(start)).starts += start
         // Exits follow all starts, so that the exit of the last logged attempt is read after its start.
-        val lastExit = lastLogged?.let { LoggedExit(it.index, it.attempt, job.isDone(it.index)) }
-        for (exit in listOfNotNull(lastExit) + doneExits) rows.withSpace(LogRecord.bytes(exit)).exits += exit
+        val lastExit = lastLoggedStart?.let { LoggedExit(it.index, it.attempt, job.isDone(it.index)) }
+        for (exit in listOfNotNull(lastExit) + doneExits) rows.rowWithSpace(LogRecord.bytes(exit)).exits += exit
         return rows.build()
     }
 
@@ -48,8 +51,10 @@
         private val rows = ArrayList<LogRowBuilder>()
         private var remainingBytes = 0
 
-        /** The last row, or a new one where the last does not have so many bytes left; takes them. */
-        fun withSpace(bytes: Int): LogRowBuilder {
+        /**
+         * Returns the last row, or a new one if the last has fewer than [bytes] left, and uses up these bytes of it.
+         */
+        fun rowWithSpace(bytes: Int): LogRowBuilder {
             if (rows.isEmpty() || remainingBytes < bytes) {
                 rows += LogRowBuilder()
                 remainingBytes = bytesPerRow
@@ -62,7 +67,7 @@
     }
 
     private companion object {
-        /** Of a task that is done it does not matter which attempt it was. */
+        /** The attempt number of an exit has no effect if the task is done. */
         const val ANY_ATTEMPT = 0L
     }
 }
--- a/src/main/kotlin/umberslip/scheduling/LogComposer.kt
+++ b/src/main/kotlin/umberslip/scheduling/LogComposer.kt
@@ -5,33 +5,34 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** Adds the entries of the log that are due to a transaction. */
+/** Adds the log entries that are due to a transaction. */
 internal class LogComposer(
     private val transaction: TransactionBuilder,
     private val pending: PendingWrites,
     private val slots: LogSlots,
-    /** How many preconditions the entries may bring into the transaction, those of their slots not counted. */
+    /** The most preconditions that the transaction may have with those on job records; the slots bring more. */
     private val maxPreconditions: Int,
     private val now: Duration,
 ) {
     /**
-     * Starts are due at once. Exits are written with them, or without after a while.
+     * Adds entries with starts, which are due at once, and exits. If there are no starts, exits are written only once
+     * the oldest of them has waited for a while.
      *
-     * @return whether enough slots are free for progress records to wait; they make slots free.
+     * @return whether enough slots are free for progress records to be written later; writing them frees slots
      */
     fun compose(): Boolean {
         if (pending.starts.isEmpty() && !areExitsDue()) return true
-        val free = slots.free()
-        val hasReserve = free.size >= slots.count / RESERVE
-        if (!hasReserve) compact(free)
-        val starts = ArrayDeque(guardableStarts())
+        val freeSlots = slots.freeSlots()
+        val hasEnoughFreeSlots = freeSlots.size >= slots.count / FREE_SLOT_DIVISOR
+        if (!hasEnoughFreeSlots) compact(freeSlots)
+        val starts = ArrayDeque(startsWithinPreconditionLimit())
         val exits = ArrayDeque(pending.exits.filter { !it.job.isTerminal })
         while (starts.isNotEmpty() || exits.isNotEmpty()) {
-            if (free.size <= COMPACTION_SLOTS) return false
+            if (freeSlots.size <= SLOTS_KEPT_FOR_COMPACTION) return false
             if (!transaction.hasSpaceForEntries(1)) break
-            if (!addEntry(free.removeFirst(), starts, exits)) break
+            if (!addEntry(freeSlots.removeFirst(), starts, exits)) break
         }
-        return hasReserve
+        return hasEnoughFreeSlots
     }
 
     private fun areExitsDue(): Boolean {
@@ -40,17 +41,18 @@
     }
 
     /**
-     * Copies one progress block, of those whose record fits into no value the one that most entries are retained for.
+     * Copies one progress block within the log to free the entries that are retained for it. Of the blocks whose record
+     * does not fit into a value, it takes the one with the most retained entries whose copy frees slots and fits.
      */
-    private fun compact(free: ArrayDeque<LogSlot>) {
+    private fun compact(freeSlots: ArrayDeque<LogSlot>) {
         val valueBytes = transaction.limits.valueBytes
-        val retained = slots.retainedEntries()
-        val blocks = retained.keys.filter { !it.job.isTerminal && recordBytes(it) > valueBytes }
-        for (block in blocks.sortedByDescending { retained.getValue(it) }) {
+        val retainedEntries = slots.retainedEntriesByBlock()
+        val blocks = retainedEntries.keys.filter { !it.job.isTerminal && recordBytes(it) > valueBytes }
+        for (block in blocks.sortedByDescending { retainedEntries.getValue(it) }) {
             val rows = LogCompaction(block).rows(valueBytes)
-            val makesSlotsFree = rows.size < retained.getValue(block)
-            if (makesSlotsFree && transaction.hasSpaceForEntries(rows.size) && rows.size <= free.size) {
-                addCopy(block, rows, free)
+            val freesSlots = rows.size < retainedEntries.getValue(block)
+            if (freesSlots && transaction.hasSpaceForEntries(rows.size) && rows.size <= freeSlots.size) {
+                addCopy(block, rows, freeSlots)
                 return
             }
         }
@@ -61,23 +63,23 @@
     private fun addCopy(
         block: ProgressBlock,
         rows: List<LogRow>,
-        free: ArrayDeque<LogSlot>,
+        freeSlots: ArrayDeque<LogSlot>,
     ) {
-        transaction.copyBlock(block)
-        // The entries of the copy are retained for an edit of their own, which no copy holds yet.
-        pending.edited(block, now)
+        transaction.beginBlockCopy(block)
+        // The copy counts as an edit of its own, which no copy holds yet, so that its entries are retained.
+        pending.blockEdited(block, now)
         for (row in rows) {
             val entry = LogRecord(slots.nextSequenceNumber(), mapOf(block.job.spec.id to row))
-            transaction.putLogEntry(free.removeFirst(), entry, listOf(block), transaction.limits.valueBytes)
+            transaction.putLogEntry(freeSlots.removeFirst(), entry, listOf(block), transaction.limits.valueBytes)
         }
     }
 
     /**
-     * The transaction has preconditions for so many jobs only: those of the highest priority whose tasks were placed
-     * first, each with all of its starts. If it were the first so many starts, a batch would hold a few of each of some
-     * jobs, and hundreds of jobs would wait.
+     * Returns the starts of as many jobs as the transaction has preconditions for, one for each job. It takes the jobs
+     * of the highest priority whose tasks were placed first, each with all of its starts. If it took the first starts
+     * instead, a batch would hold only a few starts of each of some jobs, and hundreds of jobs would wait.
      */
-    private fun guardableStarts(): List<Assignment> {
+    private fun startsWithinPreconditionLimit(): List<Assignment> {
         val maxJobs = maxPreconditions - transaction.preconditionCount
         val jobs = HashSet<RunningJob>()
         return pending.starts.sortedBy { it.job.priority }.filter {
@@ -85,7 +87,7 @@
         }
     }
 
-    /** Moves as many of [starts], then of [exits], into an entry as fit; false where none was left to move. */
+    /** Moves as many of [starts], and then of [exits], as fit into an entry. Returns false if there were none. */
     private fun addEntry(
         slot: LogSlot,
         starts: ArrayDeque<Assignment>,
@@ -94,7 +96,7 @@
         val entry = LogEntryBuilder(transaction.limits.valueBytes)
         while (starts.isNotEmpty() && entry.add(starts.first())) {
             val assignment = starts.removeFirst()
-            transaction.guard(assignment.job)
+            transaction.addJobPrecondition(assignment.job)
             transaction.recordStart(assignment)
         }
         while (starts.isEmpty() && exits.isNotEmpty() && entry.add(exits.first())) {
@@ -106,13 +108,16 @@
     }
 
     private companion object {
-        /** With fewer free slots than one in so many, slots are made free by writing what their entries are for. */
-        const val RESERVE = 8
+        /**
+         * If fewer than one in this many slots are free, progress records are written without delay, and progress
+         * blocks are copied, so that slots become free.
+         */
+        const val FREE_SLOT_DIVISOR = 8
 
-        /** Left free for copies, which make slots free but need some themselves. */
-        const val COMPACTION_SLOTS = 4
+        /** Slots that other entries leave free for copies of progress blocks, which need slots before they free any. */
+        const val SLOTS_KEPT_FOR_COMPACTION = 4
 
-        /** Exits wait this long for starts to be written with. */
+        /** Exits wait at most this long for starts to be written together with. */
         val MAX_EXIT_DELAY = 1.seconds
     }
 }
--- a/src/main/kotlin/umberslip/scheduling/LogEntryBuilder.kt
+++ b/src/main/kotlin/umberslip/scheduling/LogEntryBuilder.kt
@@ -6,7 +6,7 @@
 import umberslip.records.LoggedExit
 import umberslip.records.Placement
 
-/** The starts and exits of one job in an entry of the log. */
+/** Builds the row of a log entry that holds the starts and exits of one job. */
 internal class LogRowBuilder {
     val starts = ArrayList<Placement>()
     val exits = ArrayList<LoggedExit>()
@@ -14,44 +14,47 @@
     fun build() = LogRow(starts, exits)
 }
 
-/** An entry of the log with starts and exits of many jobs, which together fit into a value of [valueBytes]. */
+/** Builds a log entry with starts and exits of many jobs, which together fit into a value of [valueBytes]. */
 internal class LogEntryBuilder(
     private val valueBytes: Int,
 ) {
     private val rows = LinkedHashMap<JobId, LogRowBuilder>()
-    private val namedBlocks = LinkedHashSet<ProgressBlock>()
+    private val affectedBlocks = LinkedHashSet<ProgressBlock>()
 
-    /** An estimate of what the entry takes, by its JSON form. */
+    /** The estimated size of the entry in its JSON form. */
     var bytes = LogRecord.FIXED_BYTES
         private set
 
-    /** The progress blocks of all tasks in the entry. */
-    val blocks: Set<ProgressBlock> get() = namedBlocks
+    /** The progress blocks that the entry affects: those of all tasks in it. */
+    val blocks: Set<ProgressBlock> get() = affectedBlocks
 
-    val isEmpty: Boolean get() = namedBlocks.isEmpty()
+    val isEmpty: Boolean get() = affectedBlocks.isEmpty()
 
-    /** Adds a start; false, and nothing added, where it does not fit. */
+    /** Adds a start. Returns false without adding it if it does not fit. */
     fun add(assignment: Assignment): Boolean {
         val placement = Placement(assignment.index, assignment.attempt, assignment.machineName)
-        if (!takeSpace(assignment.job, LogRecord.bytes(placement))) return false
+        if (!reserveSpace(assignment.job, LogRecord.bytes(placement))) return false
         rowOf(assignment.job).starts += placement
-        namedBlocks += assignment.job.block(assignment.index)
+        affectedBlocks += assignment.job.block(assignment.index)
         return true
     }
 
-    /** Adds an exit; false, and nothing added, where it does not fit. */
+    /** Adds an exit. Returns false without adding it if it does not fit. */
     fun add(exit: TaskExit): Boolean {
         val loggedExit = LoggedExit(exit.index, exit.attempt, exit.done)
-        if (!takeSpace(exit.job, LogRecord.bytes(loggedExit))) return false
+        if (!reserveSpace(exit.job, LogRecord.bytes(loggedExit))) return false
         rowOf(exit.job).exits += loggedExit
-        namedBlocks += exit.job.block(exit.index)
+        affectedBlocks += exit.job.block(exit.index)
         return true
     }
 
     fun build(sequenceNumber: Long) = LogRecord(sequenceNumber, rows.mapValues { (_, row) -> row.build() })
 
-    /** The first of an entry always fits, since there is no smaller entry that it could be in. */
-    private fun takeSpace(
+    /**
+     * Reserves space for a start or an exit. Returns false if it does not fit. The first one of an entry always fits,
+     * since there is no smaller entry that could hold it.
+     */
+    private fun reserveSpace(
         job: RunningJob,
         taskBytes: Int,
     ): Boolean {
--- a/src/main/kotlin/umberslip/scheduling/LogSlot.kt
+++ b/src/main/kotlin/umberslip/scheduling/LogSlot.kt
@@ -3,33 +3,37 @@
 import umberslip.records.Keys
 import umberslip.store.Version
 
-/** A key of the log. Its entry is retained until every progress block that it names is stored elsewhere as well. */
+/**
+ * A slot of the log: a key for one entry at a time. The entry affects the progress blocks whose starts and exits it
+ * holds, and is retained until the edits of all of them are stored elsewhere as well.
+ */
 internal class LogSlot(
     val number: Int,
 ) {
     /** The key of the slot's entry. */
     val key = Keys.log(number)
 
-    /** The version of the slot's entry, by which the next write to the slot is guarded. */
+    /** The version of the slot's entry, which guards the next write to the slot. */
     var version = Version.NONE
     private val edits = ArrayList<BlockEdit>()
 
-    /** Its entry is malformed, so that what it records is unknown: it is not overwritten. */
+    /** Whether the slot's entry is malformed. Its contents are unknown, so it is not overwritten. */
     var isUnreadable = false
 
-    /** The slot has a new entry, retained until all of [named] are stored elsewhere. */
+    /** Notes that the slot has a new entry, which is retained until all [newEdits] are stored elsewhere. */
     fun entryWritten(
-        named: List<BlockEdit>,
+        newEdits: List<BlockEdit>,
         version: Version,
     ) {
         this.version = version
         edits.clear()
-        edits += named
+        edits += newEdits
     }
 
     /**
-     * Whether the slot may be written anew. Asked for every slot whenever there is something to log, so an edit that
-     * is stored elsewhere, which it remains, is not looked at again.
+     * Whether the slot may be overwritten. This is asked for every slot whenever there is something to log. An edit
+     * that is stored elsewhere is therefore removed, so that it is not checked again; it never ceases to be stored
+     * there.
      */
     val isFree: Boolean
         get() {
@@ -38,7 +42,7 @@
             return edits.isEmpty()
         }
 
-    /** The progress blocks for whose sake the entry is retained. */
+    /** The progress blocks whose edits require that the entry is retained. */
     val retainedFor: List<ProgressBlock> get() = edits.filterNot { it.isStoredElsewhere }.map { it.block }
 }
 
@@ -51,33 +55,33 @@
 
     val count: Int get() = slots.size
 
-    /** Rises with every entry, across terms too. */
+    /** The sequence number of the newest entry; it rises with every entry, also across terms. */
     val sequenceNumber: Long get() = lastSequenceNumber
 
-    /** The slot of that number; null where a former leader used more slots than this one. */
+    /** Returns the slot with that number, or null if only a former leader, which had more slots, used it. */
     operator fun get(number: Int): LogSlot? = slots.getOrNull(number)
 
     fun nextSequenceNumber(): Long = ++lastSequenceNumber
 
-    /** The slots that may be written anew, lowest number first. */
-    fun free(): ArrayDeque<LogSlot> = slots.filterTo(ArrayDeque()) { it.isFree }
+    /** Returns the slots that may be overwritten, the lowest number first. */
+    fun freeSlots(): ArrayDeque<LogSlot> = slots.filterTo(ArrayDeque()) { it.isFree }
 
-    /** For how many entries each progress block is the reason, or one of the reasons, to retain them. */
-    fun retainedEntries(): Map<ProgressBlock, Int> {
+    /** Returns the number of entries retained for each progress block; an entry may be retained for several blocks. */
+    fun retainedEntriesByBlock(): Map<ProgressBlock, Int> {
         val entries = HashMap<ProgressBlock, Int>()
         for (slot in slots) for (block in slot.retainedFor) entries.merge(block, 1, Int::plus)
         return entries
     }
 
     companion object {
-        /** What the log may take altogether: every controller holds a copy, and a new leader reads all of it. */
+        /** The size limit of the whole log, since every controller holds a copy and a new leader reads all of it. */
         private const val LOG_BYTES = 2 * 1024 * 1024
         private const val MIN_SLOTS = 256
         private const val MAX_SLOTS = 1024
 
         /**
-         * Entries take as long to become free whatever their size, so with small values there must be more of them.
-         * Versions that use fewer slots read the others, too.
+         * Returns the number of slots if a value may take [valueBytes]. Entries take equally long to become free
+         * whatever their size, so small values require more slots. Versions that use fewer slots also read the others.
          */
         fun countFor(valueBytes: Int): Int = (LOG_BYTES / valueBytes).coerceIn(MIN_SLOTS, MAX_SLOTS)
     }
--- a/src/main/kotlin/umberslip/scheduling/Maintenance.kt
+++ b/src/main/kotlin/umberslip/scheduling/Maintenance.kt
@@ -5,8 +5,8 @@
 import kotlin.time.Duration
 
 /**
- * What becomes due with time rather than with a heartbeat. Each concern has its class; this one calls them in their
- * order on every tick of the leader. Pure: time is an input.
+ * The leader's work that becomes due with time rather than with a heartbeat. Each kind of work has a class of its own;
+ * this class calls them in a fixed order on every tick. Pure: time is an input.
  */
 class Maintenance(
     private val scheduler: SchedulerState,
@@ -21,7 +21,7 @@
     private val migration = Migration(scheduler)
     private val workerContact = WorkerContact(scheduler, settings.workers)
 
-    /** Called several times a second. */
+    /** Does the work that is due; called several times a second. */
     fun tick(now: Duration) {
         val unresponsiveZones by lazy(LazyThreadSafetyMode.NONE) { workerContact.unresponsiveZones(now) }
         scheduler.failures.tick(now)
@@ -37,10 +37,13 @@
         preemption.run(now)
     }
 
-    /** Whether the leader has lost contact with nearly all workers; asked on every tick, since it must last. */
+    /**
+     * Returns whether the leader has lost contact with nearly all workers for some time. It has to be called on every
+     * tick, since it measures that time.
+     */
     fun hasLostContact(now: Duration): Boolean = workerContact.isLost(now)
 
-    /** Moves what can be moved off these draining machines, as [Migration] says. */
+    /** Migrates tasks off these draining machines where possible, see [Migration]. */
     fun migrate(
         machines: List<Machine>,
         now: Duration,
--- a/src/main/kotlin/umberslip/scheduling/PendingWrites.kt
+++ b/src/main/kotlin/umberslip/scheduling/PendingWrites.kt
@@ -3,7 +3,7 @@
 import umberslip.store.Version
 import kotlin.time.Duration
 
-/** What is not recorded yet, in the order in which it became so. Removed once a write of it is applied. */
+/** What has to be written, in the order in which it became so. It is removed once a write of it is applied. */
 internal class PendingWrites {
     /** Assignments whose start is not recorded. */
     val starts = LinkedHashSet<Assignment>()
@@ -17,11 +17,11 @@
     /** Jobs that are terminal, but whose outcome is not recorded. */
     val finishedJobs = LinkedHashSet<RunningJob>()
 
-    /** Keys to be deleted. */
+    /** Keys to be deleted; they are removed already when a batch takes them. */
     val obsoleteKeys = ArrayDeque<String>()
 
-    /** A task of [block] changed. */
-    fun edited(
+    /** Notes that a task of [block] changed, so that its progress record has to be written. */
+    fun blockEdited(
         block: ProgressBlock,
         now: Duration,
     ) {
@@ -29,7 +29,7 @@
         unflushedBlocks += block
     }
 
-    /** Forgets all that concerns [job], and deletes its progress records. */
+    /** Removes all pending writes of [job], and queues the deletion of its progress records. */
     fun remove(job: RunningJob) {
         starts.removeAll { it.job === job }
         exits.removeAll { it.job === job }
--- a/src/main/kotlin/umberslip/scheduling/ProgressBlock.kt
+++ b/src/main/kotlin/umberslip/scheduling/ProgressBlock.kt
@@ -9,8 +9,8 @@
 /**
  * A fixed range of a job's tasks whose progress is stored in one record.
  *
- * Every change of one of its tasks is an edit, and edits are numbered from 1 within a term. The log holds an edit until
- * the block's record, or a later copy of the block in the log, holds it as well. Confined to the leader actor.
+ * Every change of one of its tasks is an edit, and edits are numbered from 1 within a term. The log retains an edit
+ * until the block's record, or a later copy of the block in the log, holds it as well. Confined to the leader actor.
  */
 class ProgressBlock(
     val job: RunningJob,
@@ -19,7 +19,7 @@
     /** The key of the block's record. */
     val key = Keys.progress(job.spec.id, number)
 
-    /** The version of the block's record, by which the next write of it is guarded. */
+    /** The version of the block's record, which guards the next write of the record. */
     var version = Version.NONE
 
     /** The number of the newest edit. */
@@ -35,14 +35,14 @@
     /** The highest attempt number that was ever used for one of its tasks. */
     var lastAttempt = 0L
 
-    /** The start with the highest attempt number that is only in the log. */
-    var lastLogged: Placement? = null
+    /** The start with the highest attempt number, of those that this leader recorded or loaded from the log. */
+    var lastLoggedStart: Placement? = null
         private set
 
     /** The tasks that the block's record shows as done, counted from the block's first task. */
     var storedDone = BitSet()
 
-    /** Since when an edit is not in the block's record; null where the record holds all of them. */
+    /** When the oldest edit was made that the block's record does not hold; null if the record holds all edits. */
     var unflushedSince: Duration? = null
         private set
 
@@ -52,23 +52,23 @@
     /** Whether the block's job was removed, so that nothing of the block is to be written any more. */
     val isDiscarded: Boolean get() = writtenEdit == DISCARDED
 
-    /** One of its tasks changed. */
+    /** Notes that one of its tasks changed. */
     fun edited(now: Duration) {
         lastEdit++
         if (unflushedSince == null) unflushedSince = now
     }
 
-    /** The log has the start of one of its tasks. */
+    /** Notes that the start of one of its tasks is recorded. */
     fun startLogged(placement: Placement) {
-        if (placement.attempt > (lastLogged?.attempt ?: 0L)) lastLogged = placement
+        if (placement.attempt > (lastLoggedStart?.attempt ?: 0L)) lastLoggedStart = placement
     }
 
-    /** The log has a copy of the block with all edits up to [edit]. */
+    /** Notes that the log has a copy of the block with all edits up to [edit]. */
     fun copied(edit: Long) {
         copiedEdit = maxOf(copiedEdit, edit)
     }
 
-    /** The write of the block's record was applied. */
+    /** Notes that a write of the block's record was applied. */
     fun recordWritten(
         write: ProgressWrite,
         version: Version,
@@ -79,19 +79,19 @@
         if (!isDiscarded && lastEdit == write.edit) unflushedSince = null
     }
 
-    /** The block's job was removed. */
+    /** Notes that the block's job was removed, so that nothing of the block is written any more. */
     fun discard() {
         writtenEdit = DISCARDED
     }
 
-    /** Whether the block's record holds [edit], or no longer has to. */
+    /** Returns whether the block's record holds [edit], or no longer has to since the job was removed. */
     fun isInRecord(edit: Long): Boolean = writtenEdit >= edit
 
-    /** Whether entries of the log need not be retained for [edit]. */
+    /** Returns whether log entries need not be retained for [edit]. */
     fun isStoredElsewhere(edit: Long): Boolean = writtenEdit >= edit || copiedEdit >= edit
 
     private companion object {
-        /** Higher than any edit, so that no entry of the log is retained for the block. */
+        /** Higher than any edit, so that no log entry is retained for the block. */
         const val DISCARDED = Long.MAX_VALUE
     }
 }
@@ -101,6 +101,6 @@
     val block: ProgressBlock,
     val edit: Long,
 ) {
-    /** Whether entries of the log need not be retained for it. */
+    /** Whether log entries need not be retained for these edits. */
     val isStoredElsewhere: Boolean get() = block.isStoredElsewhere(edit)
 }
--- a/src/main/kotlin/umberslip/scheduling/RecordLoader.kt
+++ b/src/main/kotlin/umberslip/scheduling/RecordLoader.kt
@@ -13,8 +13,8 @@
 import kotlin.time.Duration
 
 /**
- * Takes up what former leaders recorded: progress of the jobs, the write-ahead log on top of it, and the machines whose
- * lease renewal is revoked. The jobs themselves are loaded before. Used once in each term.
+ * Loads what former leaders recorded: the progress of jobs, then the write-ahead log on top of it, and the machines
+ * whose lease renewal is revoked. The jobs themselves are loaded before. Used once in each term.
  */
 internal class RecordLoader(
     private val jobs: Map<JobId, RunningJob>,
@@ -22,30 +22,30 @@
     private val assignments: AssignmentLifecycle,
     private val writeAheadLog: WriteAheadLog,
     private val now: Duration,
-    /** By then, every lease that a former leader can have renewed has expired. */
+    /** The time by which every lease that a former leader can have renewed has expired. */
     private val formerLeaseExpiry: Duration,
 ) {
     private val log = LoggerFactory.getLogger("umberslip.scheduling")
 
     /** Loads everything but the jobs. */
     fun load(records: RecordView) {
-        leaveAlone(records.unreadable)
+        markUnreadable(records.unreadable)
         loadProgress(records)
         for ((number, record) in records.log().entries.sortedBy { it.value.value.seq }) {
             loadLogEntry(number, record, records)
         }
         records.revokedRenewals?.let {
-            writeAheadLog.load(it, machines.keys)
+            writeAheadLog.loadRevokedRenewals(it, machines.keys)
             for (machineName in it.value.machineNames) machines[machineName]?.renewalRevokedAt = now
         }
     }
 
-    /** What malformed records hold is unknown: nothing rests on them, and nothing is written in their place. */
-    private fun leaveAlone(unreadable: Set<String>) {
+    /** Marks malformed records. Their contents are unknown, so they are neither used nor overwritten. */
+    private fun markUnreadable(unreadable: Set<String>) {
         for (key in unreadable) {
             val job = Keys.asJob(key) ?: Keys.asProgress(key)?.job
             jobs[job]?.isUnreadable = true
-            writeAheadLog.leaveAlone(key)
+            writeAheadLog.markUnreadable(key)
         }
     }
 
@@ -55,7 +55,7 @@
             if (job != null) {
                 for ((number, record) in blocks) loadBlock(job, number, record)
             } else if (Keys.job(id) !in records.unreadable) {
-                blocks.keys.forEach { writeAheadLog.drop(Keys.progress(id, it)) }
+                blocks.keys.forEach { writeAheadLog.deleteKey(Keys.progress(id, it)) }
             }
         }
     }
@@ -80,7 +80,7 @@
         entry: Versioned<LogRecord>,
         records: RecordView,
     ) {
-        val named = LinkedHashSet<ProgressBlock>()
+        val affectedBlocks = LinkedHashSet<ProgressBlock>()
         for ((id, row) in entry.value.rows) {
             val job = jobs[id] ?: continue
             val stored = records.progressRecords()[id]
@@ -93,16 +93,16 @@
                 val block = job.block(start.index)
                 if (containsEntry(block)) continue
                 applyStart(job, block, start)
-                named += block
+                affectedBlocks += block
             }
             for (exit in ends) {
                 val block = job.block(exit.index)
                 if (containsEntry(block)) continue
                 applyExit(job, exit)
-                named += block
+                affectedBlocks += block
             }
         }
-        writeAheadLog.load(number, entry.version, named, now)
+        writeAheadLog.loadEntry(number, entry.version, affectedBlocks, now)
     }
 
     private fun applyStart(
@@ -110,7 +110,7 @@
         block: ProgressBlock,
         start: Placement,
     ) {
-        // Later entries win: a task is placed elsewhere only after it was certainly off its former machine.
+        // Later entries take precedence, since a task is placed again only once it is certainly off its former machine.
         job.assigned[start.index]?.let(assignments::detach)
         if (!job.isDone(start.index)) restore(job, start)
         block.lastAttempt = maxOf(block.lastAttempt, start.attempt)
@@ -130,14 +130,14 @@
         job: RunningJob,
         placement: Placement,
     ) {
-        val machine = machines.getOrPut(placement.machineName) { unreportedMachine(placement.machineName) }
+        val machine = machines.getOrPut(placement.machineName) { newUnreportedMachine(placement.machineName) }
         val assignment = Assignment(job, placement.index, placement.attempt, placement.machineName, machine.zone)
         assignment.recorded = true
         assignments.attach(assignment, machine)
     }
 
-    /** Records name a machine only; its type and zone come with its first heartbeat. */
-    private fun unreportedMachine(name: MachineName): Machine {
+    /** Creates a machine that only the records name. Its type and zone become known with its first heartbeat. */
+    private fun newUnreportedMachine(name: MachineName): Machine {
         val machine = Machine(name, type = "", zone = "", spot = false)
         machine.leaseExpiry = formerLeaseExpiry
         machine.loadedAt = now
--- a/src/main/kotlin/umberslip/scheduling/RecordResolution.kt
+++ b/src/main/kotlin/umberslip/scheduling/RecordResolution.kt
@@ -11,8 +11,8 @@
 import umberslip.store.Version
 
 /**
- * Takes over what the key-value store shows under a key whose state the leader does not know. A malformed record is
- * left alone: its version is not taken over, so that nothing is written in its place.
+ * Applies what the key-value store holds under a key whose state the leader does not know. A malformed record is not
+ * used, and its version is not taken over, so that nothing is written in its place.
  */
 internal class RecordResolution(
     private val jobs: Map<JobId, RunningJob>,
@@ -23,23 +23,23 @@
 ) {
     private val log = LoggerFactory.getLogger("umberslip.scheduling")
 
-    /** The key has this [version], null where it does not exist, and this [data], null where it has no contents. */
+    /** Applies the [version] of a key, null if the key does not exist, and its [data], null if it has no contents. */
     fun resolve(
         key: String,
         version: Version?,
         data: Any?,
     ) {
         try {
-            if (version == null) absent(key) else present(key, version, data)
+            if (version == null) resolveMissing(key) else resolveExisting(key, version, data)
         } catch (e: MalformedMessageException) {
             log.error("malformed record neither used nor overwritten: key={} reason={}", key, e.message)
             val job = Keys.asJob(key) ?: Keys.asProgress(key)?.job
             jobs[job]?.let(::suspendUnreadable)
-            writeAheadLog.leaveAlone(key)
+            writeAheadLog.markUnreadable(key)
         }
     }
 
-    private fun absent(key: String) {
+    private fun resolveMissing(key: String) {
         val job = Keys.asJob(key)
         val block = progressBlock(key)
         when {
@@ -49,14 +49,14 @@
         }
     }
 
-    private fun present(
+    private fun resolveExisting(
         key: String,
         version: Version,
         data: Any?,
     ) {
         val job = Keys.asJob(key)
         when {
-            job != null -> jobPresent(job, version, data)
+            job != null -> resolveExistingJob(job, version, data)
             Keys.asProgress(key) != null -> {
                 if (data != null) ProgressRecord.parse(data)
                 progressBlock(key)?.version = version
@@ -73,14 +73,14 @@
         return jobs[progressKey.job]?.blockNumber(progressKey.block)
     }
 
-    private fun jobPresent(
+    private fun resolveExistingJob(
         id: JobId,
         version: Version,
         data: Any?,
     ) {
-        val known = jobs[id] ?: return
+        val job = jobs[id] ?: return
         val record = JobRecord.parse(data)
-        if (version.value > known.record.version.value) updateJob(known, Versioned(record, version))
+        if (version.value > job.record.version.value) updateJob(job, Versioned(record, version))
     }
 
     private fun suspendUnreadable(job: RunningJob) {
--- a/src/main/kotlin/umberslip/scheduling/RevokedRenewals.kt
+++ b/src/main/kotlin/umberslip/scheduling/RevokedRenewals.kt
@@ -5,40 +5,40 @@
 import umberslip.records.Versioned
 import umberslip.store.Version
 
-/** The machines whose leases no follower may renew: those that should be recorded as such, and those that are. */
+/** The machines whose leases no follower may renew: those that should be recorded, and those that are recorded. */
 internal class RevokedRenewals {
     private var stored: Set<MachineName> = emptySet()
     private var storedVersion = Version.NONE
 
     /**
-     * The machines that should be recorded, in the order in which they were added, since only the first so many fit
-     * into the record: a recorded machine stays recorded until it is removed from here. If it made way for a machine
-     * that was added later, followers could renew its lease again.
+     * The machines that should be recorded, in the order in which they were added. The record holds as many of the
+     * first ones as fit, so that a recorded machine stays recorded until it is removed from here. If a machine that was
+     * added later could displace it, followers could renew its lease again.
      */
     val pending = LinkedHashSet<MachineName>()
 
-    /** Takes over the record of a former leader, as far as it names machines that are [known]. */
+    /** Takes over the record of a former leader, except for machines that are not in [knownMachines]. */
     fun load(
         record: Versioned<MachineSetRecord>,
-        known: Set<MachineName>,
+        knownMachines: Set<MachineName>,
     ) {
         stored = record.value.machineNames
         storedVersion = record.version
-        pending += stored.filter { it in known }
+        pending += stored.filter { it in knownMachines }
     }
 
-    /** Adds the record to [transaction] if it has to change. */
+    /** Adds the record to [transaction] if it has to change. Machines that are not in [knownMachines] are removed. */
     fun addTo(
         transaction: TransactionBuilder,
-        machines: Set<MachineName>,
+        knownMachines: Set<MachineName>,
     ) {
-        pending.retainAll(machines)
+        pending.retainAll(knownMachines)
         val fitting = MachineSetRecord.fitting(pending, transaction.limits.valueBytes)
         if (fitting == stored) return
-        transaction.revokeRenewals(fitting, storedVersion)
+        transaction.putRevokedRenewals(fitting, storedVersion)
     }
 
-    /** The record was written. */
+    /** Notes that the record was written with [machineNames]. */
     fun applied(
         machineNames: Set<MachineName>,
         version: Version,
@@ -47,15 +47,17 @@
         storedVersion = version
     }
 
-    /** The record has this version, by a write with an indeterminate outcome or by another leader's. */
+    /**
+     * Takes the version of a record that a write with an indeterminate outcome, or another leader, may have changed.
+     */
     fun resolve(version: Version) {
         storedVersion = version
-        // Its contents are not known, so it is written again, and what it names counts as revoked from then.
-        stored = UNKNOWN
+        // The contents of the record are unknown, so it is written again. Its machines count as revoked from then on.
+        stored = UNKNOWN_CONTENTS
     }
 
     private companion object {
         /** Differs from every set of machines that is to be recorded. */
-        val UNKNOWN = setOf(MachineName(""))
+        val UNKNOWN_CONTENTS = setOf(MachineName(""))
     }
 }
--- a/src/main/kotlin/umberslip/scheduling/TransactionBuilder.kt
+++ b/src/main/kotlin/umberslip/scheduling/TransactionBuilder.kt
@@ -12,8 +12,8 @@
 import umberslip.store.Write
 
 /**
- * Collects the writes of one transaction with their preconditions, and what they stand for. What to write next is up
- * to the caller, who asks here whether it still fits into [limits].
+ * Collects the writes of one transaction with their preconditions, and the state changes that the writes record. The
+ * caller decides what to write next, and checks here whether it still fits into [limits].
  */
 internal class TransactionBuilder(
     val limits: TransactionLimits,
@@ -25,12 +25,12 @@
     private val exits = ArrayList<TaskExit>()
     private val finishedJobs = ArrayList<FinishedJob>()
     private val obsoleteKeys = ArrayList<String>()
-    private val loggedSlots = ArrayList<LoggedSlot>()
+    private val logEntryWrites = ArrayList<LogEntryWrite>()
     private val copiedBlocks = ArrayList<BlockEdit>()
     private var revokedRenewals: Set<MachineName>? = null
-    private val guardedJobs = HashSet<RunningJob>()
+    private val jobsWithPrecondition = HashSet<RunningJob>()
 
-    /** An estimate of what the writes take. Finished jobs and deletions, which take little, are not counted. */
+    /** The estimated size of the writes. Finished jobs and deletions are small and not counted. */
     private var bytes = 0
 
     val preconditionCount: Int get() = preconditions.size
@@ -39,28 +39,28 @@
 
     val isFull: Boolean get() = !hasSpaceForWrite || bytes >= limits.transactionBytes
 
-    /** Whether so many more entries of the log fit, each as large as a value may be. */
+    /** Returns whether [count] more log entries fit, each as large as a value may be. */
     fun hasSpaceForEntries(count: Int): Boolean {
         val bytesWithEntries = bytes + count * limits.valueBytes
         return writes.size + count <= limits.maxWrites && bytesWithEntries <= limits.transactionBytes
     }
 
-    /** Whether one more finished job fits, if jobs that finished may take [maxWrites] of the writes. */
+    /** Returns whether one more finished job fits, if the transaction may have [maxWrites] writes with it. */
     fun hasSpaceForFinishedJob(maxWrites: Int): Boolean =
         writes.size + FINISHED_JOB_WRITES <= maxWrites &&
             preconditions.size + FINISHED_JOB_PRECONDITIONS <= limits.maxWrites * PRECONDITIONS_PER_WRITE
 
-    fun revokeRenewals(
+    fun putRevokedRenewals(
         machineNames: Set<MachineName>,
         storedVersion: Version,
     ) {
         revokedRenewals = machineNames
         put(Keys.REVOKED_RENEWALS, MachineSetRecord(machineNames).toMap(), storedVersion)
-        bytes += machineNames.sumOf { it.value.length + MACHINE_NAME_BYTES }
+        bytes += machineNames.sumOf { it.value.length + MACHINE_NAME_OVERHEAD_BYTES }
     }
 
-    /** Deletes the job's record and writes its outcome, unless its cancellation wrote that already. */
-    fun finish(job: RunningJob) {
+    /** Deletes the job's record and writes its outcome, unless the outcome was already written by its cancellation. */
+    fun finishJob(job: RunningJob) {
         val key = Keys.job(job.spec.id)
         val outcome = if (job.cancelled || job.dependencyCancelled) JobOutcome.CANCELLED else JobOutcome.DONE
         preconditions += Precondition(key, job.record.version)
@@ -71,27 +71,27 @@
         finishedJobs += FinishedJob(job, outcome)
     }
 
-    /** Records a start, by an entry or a progress record that the caller adds. */
+    /** Notes that the transaction records a start, by a log entry or a progress record that the caller adds. */
     fun recordStart(assignment: Assignment) {
         starts += assignment
     }
 
-    /** Records an exit, by an entry that the caller adds. */
+    /** Notes that the transaction records an exit, by a log entry that the caller adds. */
     fun recordExit(exit: TaskExit) {
         exits += exit
     }
 
     /**
-     * Lets the transaction fail if the job's record has changed, as it does when another controller cancels the job.
+     * Makes the transaction fail if the job's record has changed, as it does when another controller cancels the job.
      */
-    fun guard(job: RunningJob) {
-        if (!guardedJobs.add(job)) return
+    fun addJobPrecondition(job: RunningJob) {
+        if (!jobsWithPrecondition.add(job)) return
         val precondition = Precondition(Keys.job(job.spec.id), job.record.version)
         preconditions += precondition
-        bytes += precondition.key.length + PRECONDITION_BYTES
+        bytes += precondition.key.length + PRECONDITION_OVERHEAD_BYTES
     }
 
-    /** Adds an entry of the log that names [blocks] and takes [entryBytes]. */
+    /** Adds a log entry that affects [blocks] and takes [entryBytes]. */
     fun putLogEntry(
         slot: LogSlot,
         entry: LogRecord,
@@ -100,11 +100,11 @@
     ) {
         bytes += entryBytes
         put(slot.key, entry.toMap(), slot.version)
-        loggedSlots += LoggedSlot(slot.number, blocks.map { BlockEdit(it, it.lastEdit) })
+        logEntryWrites += LogEntryWrite(slot.number, blocks.map { BlockEdit(it, it.lastEdit) })
     }
 
-    /** The entries that follow are a copy of [block]. */
-    fun copyBlock(block: ProgressBlock) {
+    /** Notes that the log entries that are added next hold a copy of [block]. */
+    fun beginBlockCopy(block: ProgressBlock) {
         copiedBlocks += BlockEdit(block, block.lastEdit)
     }
 
@@ -124,7 +124,7 @@
         writes += Write.Delete(key)
     }
 
-    /** The batch, valid only while the leader's record has [leaderVersion]; null where there is nothing to write. */
+    /** Returns the batch, which is valid only while the leader's record has [leaderVersion]; null if it is empty. */
     fun build(leaderVersion: Version): WriteBatch? {
         if (writes.isEmpty()) return null
         preconditions += Precondition(Keys.LEADER, leaderVersion)
@@ -136,7 +136,7 @@
             exits,
             finishedJobs,
             obsoleteKeys,
-            loggedSlots,
+            logEntryWrites,
             copiedBlocks,
             revokedRenewals,
         )
@@ -152,19 +152,19 @@
     }
 
     companion object {
-        /** The key-value store takes four times as many preconditions as writes. */
+        /** The key-value store accepts four times as many preconditions as writes. */
         const val PRECONDITIONS_PER_WRITE = 4
 
         /** A finished job takes two writes: its outcome, and the deletion of its record. */
         const val FINISHED_JOB_WRITES = 2
 
-        /** Of the job's record, of its outcome, and of the leader's record. */
+        /** A finished job takes three preconditions: on its record, on its outcome, and on the leader's record. */
         private const val FINISHED_JOB_PRECONDITIONS = 3
 
-        /** What a precondition takes besides its key. */
-        private const val PRECONDITION_BYTES = 24
+        /** The size of a precondition without its key. */
+        private const val PRECONDITION_OVERHEAD_BYTES = 24
 
-        /** What a machine's name in a record takes besides its letters. */
-        private const val MACHINE_NAME_BYTES = 4
+        /** The size of a machine name in a record without its characters. */
+        private const val MACHINE_NAME_OVERHEAD_BYTES = 4
     }
 }
--- a/src/main/kotlin/umberslip/scheduling/WriteAheadLog.kt
+++ b/src/main/kotlin/umberslip/scheduling/WriteAheadLog.kt
@@ -10,18 +10,19 @@
 import kotlin.time.Duration
 
 /**
- * What the leader has still to write, and under which versions.
+ * Collects what the leader has to write to the key-value store, and keeps the versions that guard the writes.
  *
- * Starts and exits of tasks go first into a log, many in one value. The records of the jobs' progress follow later, and
- * are never written for a job that finishes before that. So the number of writes does not grow with that of tasks.
+ * Starts and exits of tasks are first written to a log, many in one value. The jobs' progress records follow later, and
+ * are never written for a job that finishes before that. The number of writes therefore does not grow with the number
+ * of tasks.
  *
- * Pure: it makes batches with [nextBatch], whose outcome the caller reports by [applied], [notApplied] or [rejected]
- * before it asks for the next one. Time is an input. Confined to the leader actor.
+ * [nextBatch] composes a batch, and the caller reports its outcome by [applied], [notApplied] or [rejected] before it
+ * asks for the next one. Pure: time is an input. Confined to the leader actor.
  */
 class WriteAheadLog(
     private val limits: StoreSettings,
     private var leaderVersion: Version,
-    /** Higher than that of any entry of former terms. */
+    /** Higher than the sequence number of any entry of former terms. */
     firstSequenceNumber: Long,
     slotCount: Int = slotCount(limits.valueBytes),
 ) {
@@ -30,33 +31,36 @@
     private val pending = PendingWrites()
     private val revokedRenewals = RevokedRenewals()
 
-    /** The machines whose lease renewal is to be revoked, or is, in that order; the caller adds and removes them. */
+    /**
+     * The machines whose lease renewal is revoked or is to be revoked, in the order in which they were added. The
+     * caller adds and removes machines.
+     */
     val pendingRevocations: MutableSet<MachineName> get() = revokedRenewals.pending
 
     // ---- what is to be written ----
 
-    /** The leader's record has a new version: writes under the former version fail from now on. */
+    /** Takes the new version of the leader's record; writes under the former version fail from now on. */
     fun fenced(version: Version) {
         leaderVersion = version
     }
 
-    /** The task was placed; its start is to be recorded. */
+    /** Queues the start of a task that was placed, to be recorded. */
     fun started(
         assignment: Assignment,
         now: Duration,
     ) {
         pending.starts += assignment
-        pending.edited(assignment.job.block(assignment.index), now)
+        pending.blockEdited(assignment.job.block(assignment.index), now)
     }
 
-    /** The start was not recorded, and is not to be any more. */
+    /** Removes a start that is not recorded yet, since it will not take place. */
     fun withdrawn(assignment: Assignment) {
         pending.starts -= assignment
     }
 
     /**
-     * The task exited, or is certainly not on its machine. Where its start was never recorded, no worker knows of it,
-     * and there is nothing to record unless it is done.
+     * Queues the exit of a task, which exited or is certainly not on its machine, to be recorded. If its start was
+     * never recorded, no worker knows of the task, and its exit is recorded only if it is [done].
      */
     fun ended(
         assignment: Assignment,
@@ -64,7 +68,7 @@
         now: Duration,
     ): TaskExit {
         val block = assignment.job.block(assignment.index)
-        pending.edited(block, now)
+        pending.blockEdited(block, now)
         val edit = BlockEdit(block, block.lastEdit)
         val exit = TaskExit(assignment.job, assignment.index, assignment.attempt, done, edit, now)
         val wasRecorded = !pending.starts.remove(assignment)
@@ -73,60 +77,62 @@
         return exit
     }
 
-    /** Whether the job is terminal may have changed. */
+    /** Updates whether the job's outcome is to be written, after the job may have become terminal or ceased to be. */
     fun jobChanged(job: RunningJob) {
         if (job.isTerminal) pending.finishedJobs += job else pending.finishedJobs -= job
     }
 
-    /** The job's record is deleted: nothing of the job is to be written any more. */
+    /**
+     * Removes everything that is to be written for a job whose record was deleted, and deletes its progress records.
+     */
     fun remove(job: RunningJob) = pending.remove(job)
 
-    /** Deletes a key that nothing needs any more. */
-    fun drop(key: String) {
+    /** Queues the deletion of a key that is no longer needed. */
+    fun deleteKey(key: String) {
         pending.obsoleteKeys += key
     }
 
     // ---- the records of former leaders ----
 
-    /** Takes over an entry of the log whose effects on the progress blocks that it [named] are applied already. */
-    fun load(
+    /** Takes over a log entry of a former leader, whose effects on [affectedBlocks] have been applied already. */
+    fun loadEntry(
         slotNumber: Int,
         version: Version,
-        named: Collection<ProgressBlock>,
+        affectedBlocks: Collection<ProgressBlock>,
         now: Duration,
     ) {
-        named.forEach { pending.edited(it, now) }
-        slots[slotNumber]?.entryWritten(named.map { BlockEdit(it, it.lastEdit) }, version)
+        affectedBlocks.forEach { pending.blockEdited(it, now) }
+        slots[slotNumber]?.entryWritten(affectedBlocks.map { BlockEdit(it, it.lastEdit) }, version)
     }
 
-    /** Takes over the record of revoked renewals; machines that are not [known] need none. */
-    fun load(
+    /** Takes over the record of revoked renewals of a former leader, except for machines not in [knownMachines]. */
+    fun loadRevokedRenewals(
         record: Versioned<MachineSetRecord>,
-        known: Set<MachineName>,
-    ) = revokedRenewals.load(record, known)
+        knownMachines: Set<MachineName>,
+    ) = revokedRenewals.load(record, knownMachines)
 
-    // ---- batches and their outcome ----
+    // ---- batches and their outcomes ----
 
     /**
-     * The next writes, the most needed first; null where none is due.
+     * Returns the next writes, the most urgent first, or null if none are due.
      *
-     * @param maxWrites how many writes the caller allows
-     * @param machines those that the leader knows
+     * @param maxWrites the number of writes that the caller allows
+     * @param knownMachines the machines that the leader knows; lease renewal is revoked only for these
      */
     fun nextBatch(
         maxWrites: Int,
-        machines: Set<MachineName>,
+        knownMachines: Set<MachineName>,
         now: Duration,
     ): WriteBatch? {
         val transaction = TransactionBuilder(budget.limitsFor(maxWrites))
-        // Every write has a precondition of its own, so the guards of jobs share the others.
+        // Every write may have one precondition on its own key; the preconditions on job records share the others.
         val maxLogPreconditions =
             limits.transactionOps * (TransactionBuilder.PRECONDITIONS_PER_WRITE - 1) - OTHER_PRECONDITIONS
-        BatchComposer(transaction, pending, slots, now).compose(revokedRenewals, machines, maxLogPreconditions)
+        BatchComposer(transaction, pending, slots, now).compose(revokedRenewals, knownMachines, maxLogPreconditions)
         return transaction.build(leaderVersion)
     }
 
-    /** The key-value store applied the batch. Returns the machines that have newly recorded starts. */
+    /** Takes a batch that the key-value store applied. Returns the machines that have newly recorded starts. */
     fun applied(
         batch: WriteBatch,
         version: Version,
@@ -134,13 +140,13 @@
         batch.revokedRenewals?.let { revokedRenewals.applied(it, version) }
         for ((block, edit) in batch.copiedBlocks) block.copied(edit)
         batch.progressWrites.forEach { progressWritten(it, version) }
-        for ((number, edits) in batch.loggedSlots) slots[number]?.entryWritten(edits, version)
+        for ((number, edits) in batch.logEntryWrites) slots[number]?.entryWritten(edits, version)
         for (exit in batch.exits) {
             exit.logged()
             pending.exits -= exit
         }
         val machineNames = HashSet<MachineName>()
-        for (assignment in batch.starts) if (startRecorded(assignment)) machineNames += assignment.machineName
+        for (assignment in batch.starts) if (markStartRecorded(assignment)) machineNames += assignment.machineName
         return machineNames
     }
 
@@ -152,16 +158,16 @@
         block.recordWritten(write, version)
         pending.unflushedBlocks -= block
         if (block.isDiscarded) {
-            // Its job was removed while the batch was in flight.
+            // The block's job was removed while the batch was in flight.
             pending.obsoleteKeys += block.key
         } else if (block.lastEdit != write.edit) {
-            // Edited while the batch was in flight: it moves to the end.
+            // The block was edited while the batch was in flight, and moves to the end of the queue.
             pending.unflushedBlocks += block
         }
     }
 
-    /** False where the assignment was recorded before, or has ended meanwhile. */
-    private fun startRecorded(assignment: Assignment): Boolean {
+    /** Marks a start as recorded. Returns false if it was recorded before, or the assignment has ended meanwhile. */
+    private fun markStartRecorded(assignment: Assignment): Boolean {
         pending.starts -= assignment
         if (assignment.job.assigned[assignment.index] !== assignment || assignment.recorded) return false
         assignment.recorded = true
@@ -170,19 +176,22 @@
         return true
     }
 
-    /** The key-value store did not apply the batch. What it stood for goes into later batches. */
+    /**
+     * Takes a batch that the key-value store did not apply. Its contents go into later batches; only the obsolete keys
+     * have to be queued again for that, since everything else is still pending.
+     */
     fun notApplied(batch: WriteBatch) {
         pending.obsoleteKeys.addAll(batch.obsoleteKeys)
     }
 
-    /** As [notApplied], and the same batch would be rejected again: from now on less goes into one. */
+    /** Like [notApplied]. The store would reject the same batch again, so later batches have half the size. */
     fun rejected(batch: WriteBatch) {
         notApplied(batch)
         budget.halve()
     }
 
     /**
-     * The key-value store has [key] with this version, or without a version does not have it. For a key whose
+     * Takes the [version] that [key] has in the key-value store, null if the key does not exist. Called for a key whose
      * precondition failed, or whose write had an indeterminate outcome.
      */
     fun resolve(
@@ -197,16 +206,16 @@
         }
     }
 
-    /** The record at [key] is malformed: a slot of the log with that key is not written any more. */
-    fun leaveAlone(key: String) {
+    /** Notes that the record at [key] is malformed. If the key is a slot of the log, the slot is no longer written. */
+    fun markUnreadable(key: String) {
         Keys.asLog(key)?.let { slots[it] }?.isUnreadable = true
     }
 
     companion object {
-        /** Besides one for each write: of the leader's record, and of the revoked renewals. */
+        /** Preconditions besides one for each write: on the leader's record, and on the revoked renewals. */
         private const val OTHER_PRECONDITIONS = 2
 
-        /** How many slots the log has where values take so many bytes. */
+        /** Returns the number of slots that the log has if a value may take [valueBytes]. */
         fun slotCount(valueBytes: Int): Int = LogSlots.countFor(valueBytes)
     }
 }
--- a/src/main/kotlin/umberslip/scheduling/WriteBatch.kt
+++ b/src/main/kotlin/umberslip/scheduling/WriteBatch.kt
@@ -6,7 +6,7 @@
 import umberslip.store.Write
 import java.util.BitSet
 
-/** The writes of one transaction, and what the leader's state has to follow once the transaction is applied. */
+/** The writes of one transaction, and the changes to the leader's state that follow once it is applied. */
 class WriteBatch(
     val preconditions: List<Precondition>,
     val writes: List<Write>,
@@ -18,17 +18,17 @@
     val exits: List<TaskExit>,
     /** The jobs whose outcome is written and whose record is deleted. */
     val finishedJobs: List<FinishedJob>,
-    /** Keys deleted because nothing needs them any more. */
+    /** The keys that are deleted because they are no longer needed. */
     val obsoleteKeys: List<String>,
-    /** The entries of the log among the writes. */
-    val loggedSlots: List<LoggedSlot>,
+    /** The log entries among the writes. */
+    val logEntryWrites: List<LogEntryWrite>,
     /** The progress blocks that the batch copies within the log. */
     val copiedBlocks: List<BlockEdit>,
-    /** The machines whose lease renewal the batch revokes; null where their record is not among the writes. */
+    /** The machines whose lease renewal the batch revokes; null if the batch does not write their record. */
     val revokedRenewals: Set<MachineName>?,
 )
 
-/** A progress record as it is written: [block] up to the number [edit], with the tasks that it shows as [done]. */
+/** The write of a progress record that holds the edits of [block] up to number [edit], with its [done] tasks. */
 class ProgressWrite(
     val block: ProgressBlock,
     val edit: Long,
@@ -41,8 +41,8 @@
     val outcome: JobOutcome,
 )
 
-/** A log entry as it is written to the slot [number], with the edits of the progress blocks that it names. */
-data class LoggedSlot(
+/** The write of a log entry to the slot [number], with the [edits] of the progress blocks that it affects. */
+data class LogEntryWrite(
     val number: Int,
     val edits: List<BlockEdit>,
 )
--- a/src/main/kotlin/umberslip/scheduling/WriteResolution.kt
+++ b/src/main/kotlin/umberslip/scheduling/WriteResolution.kt
@@ -17,8 +17,9 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * Finds out what became of writes whose preconditions failed, or whose outcome is indeterminate. It goes on until it
- * knows, or until the scheduler state that wrote them is not current any more. Confined to the leader actor's thread.
+ * Determines what the key-value store holds after writes whose preconditions failed, or whose outcome is indeterminate.
+ * Retries until that is known, or until the scheduler state that made the writes is no longer current. Confined to the
+ * leader actor's thread.
  */
 internal class WriteResolution(
     private val member: String,
@@ -31,11 +32,11 @@
     /**
      * Makes sure that no earlier write of this term will be applied any more.
      *
-     * A write without a response may be applied long after a read that does not show it. So before anything rests on
-     * such a read, the leader's record is written anew: every write of this term has that record's version as a
-     * precondition, so what was not applied by then never will be.
+     * A write without a response may be applied long after a read that does not show it. Before anything relies on such
+     * a read, the leader's record is therefore rewritten. Every write of this term has the version of that record as a
+     * precondition, so a write that was not applied by then never will be.
      *
-     * @return false where this controller does not lead any more
+     * @return false if this controller no longer leads
      */
     suspend fun fence(scheduler: SchedulerState): Boolean {
         while (isCurrent(scheduler)) {
@@ -45,7 +46,7 @@
             } catch (e: ServiceException) {
                 log.debug("cannot fence earlier writes, retrying: reason={}", e.message)
             }
-            delay(RETRY)
+            delay(RETRY_DELAY)
         }
         return false
     }
@@ -61,8 +62,8 @@
                 listOf(Write.Put(Keys.LEADER, record.toMap(), record.lease)),
             )
         return when (result) {
-            is TransactionResult.Applied -> fenced(scheduler, result.version)
-            is TransactionResult.PreconditionFailed -> fencedEarlier(scheduler, record)
+            is TransactionResult.Applied -> applyFence(scheduler, result.version)
+            is TransactionResult.PreconditionFailed -> checkEarlierFence(scheduler, record)
             TransactionResult.LeaseExpired, is TransactionResult.Rejected -> {
                 leaderLease.lost("its lease has expired")
                 false
@@ -70,18 +71,21 @@
         }
     }
 
-    /** The record changed: an earlier attempt to fence was applied without a response, or another controller leads. */
-    private suspend fun fencedEarlier(
+    /**
+     * Handles a change of the leader's record. Either an earlier attempt to fence was applied without a response, or
+     * another controller leads.
+     */
+    private suspend fun checkEarlierFence(
         scheduler: SchedulerState,
         record: LeaderRecord,
     ): Boolean {
         val entry = store.get(Keys.LEADER)
-        if (entry != null && isRecord(record, entry)) return fenced(scheduler, entry.version)
+        if (entry != null && isSameRecord(record, entry)) return applyFence(scheduler, entry.version)
         leaderLease.lost("this controller no longer holds the leader's record")
         return false
     }
 
-    private fun isRecord(
+    private fun isSameRecord(
         record: LeaderRecord,
         entry: Entry,
     ): Boolean =
@@ -92,7 +96,7 @@
             false
         }
 
-    private fun fenced(
+    private fun applyFence(
         scheduler: SchedulerState,
         version: Version,
     ): Boolean {
@@ -101,7 +105,7 @@
         return true
     }
 
-    /** Reads [keys], whose state is not known, before anything more is written to them. */
+    /** Reads [keys], whose state is not known, and applies what they hold before anything more is written to them. */
     suspend fun resolve(
         scheduler: SchedulerState,
         keys: List<String>,
@@ -122,11 +126,11 @@
             } catch (e: ServiceException) {
                 if (failures++ == 0) log.info("cannot read unresolved key, retrying: key={} reason={}", key, e.message)
             }
-            delay(RETRY)
+            delay(RETRY_DELAY)
         }
     }
 
     private companion object {
-        val RETRY = 200.milliseconds
+        val RETRY_DELAY = 200.milliseconds
     }
 }
--- a/src/test/kotlin/umberslip/scheduling/FormerTermBatchTest.kt
+++ b/src/test/kotlin/umberslip/scheduling/FormerTermBatchTest.kt
@@ -85,7 +85,7 @@
     private var sequenceNumber = 0L
 
     @AfterEach
-    fun end() {
+    fun tearDown() {
         scope.cancel()
         scheduler.runCurrent()
     }
@@ -125,8 +125,8 @@
             commands.orEmpty().count { (it as Map<*, *>)["verb"] == "start" }
         }
 
-    /** Until the former term's batch of starts is under way, and the new term has begun. */
-    private fun regainLeadershipWithinAWrite() {
+    /** Begins a new term while the batch that records the starts of the former term is being written. */
+    private fun regainLeadershipDuringWrite() {
         start()
         elect(1)
         heartbeat(1)
@@ -137,32 +137,32 @@
 
     @Test
     fun `a batch that fails on the former leader's record does not end the new term`() {
-        regainLeadershipWithinAWrite()
+        regainLeadershipDuringWrite()
         store.transactions[0].complete(TransactionResult.PreconditionFailed(listOf(Keys.LEADER)))
         scheduler.runCurrent()
-        assertFalse(leaderLease.isLost, "the new term has lost its leadership")
-        assertWorksOn()
+        assertFalse(leaderLease.isLost, "the new term lost its leadership")
+        assertNewTermRecordsStarts()
     }
 
     @Test
-    fun `a batch that was applied in the former term records nothing for the new one`() {
-        regainLeadershipWithinAWrite()
+    fun `a batch that was applied in the former term records nothing for the new term`() {
+        regainLeadershipDuringWrite()
         store.transactions[0].complete(TransactionResult.Applied(Version(11)))
         scheduler.runCurrent()
-        assertWorksOn()
+        assertNewTermRecordsStarts()
     }
 
     @Test
-    fun `a batch that was rejected in the former term leaves the new one its transaction limits`() {
-        regainLeadershipWithinAWrite()
+    fun `a batch that was rejected in the former term does not reduce the new term's transaction limits`() {
+        regainLeadershipDuringWrite()
         store.transactions[0].complete(TransactionResult.Rejected("too large"))
         scheduler.runCurrent()
-        assertWorksOn()
+        assertNewTermRecordsStarts()
     }
 
-    /** Nothing was wrong with the state that wrote the batch, but its outcome will never be known. */
+    /** The state that wrote the batch is still valid, but the outcome of the batch will never be known. */
     @Test
-    fun `a write that fails unexpectedly ends the term, and the next one writes`() {
+    fun `a write that fails unexpectedly ends the term, and the next term records the starts`() {
         start()
         elect(1)
         heartbeat(1)
@@ -171,11 +171,11 @@
         assertTrue(leaderLease.isLost)
         stepDown()
         elect(2)
-        assertWorksOn()
+        assertNewTermRecordsStarts()
     }
 
-    /** The new term records the starts itself before the worker gets them. */
-    private fun assertWorksOn() {
+    /** Asserts that the new term records the starts itself before the worker receives them. */
+    private fun assertNewTermRecordsStarts() {
         val before = store.transactions.size
         heartbeat(2)
         assertEquals(before + 1, store.transactions.size, "the new term writes its starts")
@@ -185,7 +185,7 @@
         assertEquals(3, startCommands())
     }
 
-    /** Transactions wait until the test says what became of them; there are no keys. */
+    /** A store whose transactions wait until the test completes them, and which has no keys. */
     private class PausingStore : KeyValueStore by UnusedKeyValueStore {
         val transactions = ArrayList<CompletableDeferred<TransactionResult>>()
 
--- a/src/test/kotlin/umberslip/scheduling/LogCompactionTest.kt
+++ b/src/test/kotlin/umberslip/scheduling/LogCompactionTest.kt
@@ -23,7 +23,7 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** The log under limits so small that a progress record does not fit while most of its tasks run. */
+/** Compaction of a log with limits so small that a progress record does not fit while most of its tasks run. */
 class LogCompactionTest {
     private val replica = RecordReplica()
     private val leader = TestScheduler(replica = replica, settingsJson = Fixtures.loweredJson("c-0"), logSlots = 80)
@@ -31,15 +31,17 @@
     /** The highest attempt number of each job that was ever recorded. */
     private val highestRecorded = HashMap<JobId, Long>()
 
-    private fun service(tasks: Int) = array(tasks) { it.copy(shape = Shape.DAEMON, deadlineSeconds = null) }
+    private fun serviceJob(tasks: Int) = arrayJob(tasks) { it.copy(shape = Shape.DAEMON, deadlineSeconds = null) }
 
-    private fun array(
+    private fun arrayJob(
         tasks: Int,
         change: (JobSpec) -> JobSpec = { it },
     ) = leader.job { change(it.copy(tasks = tasks, cpus = 0.01, memoryGb = 0.01)) }
 
-    /** The machine reports its tasks as running but for those that [ended], gets new ones, and all is written. */
-    private fun round(
+    /**
+     * The machine reports its tasks, as running or as [ended], and gets new ones. Everything that is due is written.
+     */
+    private fun heartbeatRound(
         scheduler: TestScheduler,
         ended: Map<TaskId, ExitCause>,
     ) {
@@ -55,7 +57,7 @@
         scheduler.heartbeat("m", *reported.toTypedArray())
         scheduler.dispatch("m")
         scheduler.write()
-        for ((task, attempt) in placements(scheduler)) highestRecorded.merge(task.job, attempt, ::maxOf)
+        for ((task, attempt) in recordedAttempts(scheduler)) highestRecorded.merge(task.job, attempt, ::maxOf)
     }
 
     private fun reported(
@@ -68,87 +70,88 @@
             TestScheduler.ended(task.id, task.attempt, cause)
         }
 
-    private fun placements(scheduler: TestScheduler): Map<TaskId, Long> =
+    private fun recordedAttempts(scheduler: TestScheduler): Map<TaskId, Long> =
         scheduler.scheduler.jobs.values
             .flatMap { it.assigned.values }
             .filter { it.recorded }
             .associate { it.id to it.attempt }
 
-    private fun done(scheduler: TestScheduler): Map<String, List<Int>> =
+    private fun doneTasks(scheduler: TestScheduler): Map<String, List<Int>> =
         scheduler.scheduler.jobs.values.associate { job ->
             job.spec.id.value to (0 until job.spec.tasks).filter { job.isDone(it) }
         }
 
     @Test
     fun `starts are recorded however often the tasks of a service are replaced`() {
-        val service = service(tasks = 100)
-        round(leader, emptyMap())
+        val service = serviceJob(tasks = 100)
+        heartbeatRound(leader, emptyMap())
         assertEquals(100, service.assigned.size)
         val random = Random(1)
         repeat(300) { number ->
             val task = service.assigned.values.random(random)
-            round(leader, mapOf(task.id to ExitCause.STOPPED))
+            heartbeatRound(leader, mapOf(task.id to ExitCause.STOPPED))
             val hasUnrecorded = leader.scheduler.hasUnrecorded(leader.machine("m"))
-            assertFalse(hasUnrecorded, "round $number: a start waits for its record")
+            assertFalse(hasUnrecorded, "round $number: a start is not recorded")
         }
-        assertTrue(leader.written.none { it.key == Keys.progress(service.spec.id, 0) }, "its own record never fitted")
-        assertEquals(placements(leader), placements(leader.successor()))
+        assertTrue(leader.written.none { it.key == Keys.progress(service.spec.id, 0) }, "its record never fits")
+        assertEquals(recordedAttempts(leader), recordedAttempts(leader.successor()))
     }
 
     @Test
     fun `a copy preserves the highest attempt number after its task has exited`() {
-        val job = array(tasks = 3)
-        round(leader, emptyMap())
-        val last = job.assigned.values.maxBy { it.attempt }
+        val job = arrayJob(tasks = 3)
+        heartbeatRound(leader, emptyMap())
+        val lastStarted = job.assigned.values.maxBy { it.attempt }
         leader.now += 100.milliseconds
         leader.heartbeat(
             "m",
             *job.assigned.values
-                .map { reported(it, ExitCause.STOPPED.takeIf { _ -> it === last }) }
+                .map { reported(it, ExitCause.STOPPED.takeIf { _ -> it === lastStarted }) }
                 .toTypedArray(),
         )
         val row = LogCompaction(job.block(0)).rows(valueBytes = 1024).single()
         assertEquals(
             job.assigned.values
                 .map { it.attempt }
-                .toSet() + last.attempt,
+                .toSet() + lastStarted.attempt,
             row.starts.map { it.attempt }.toSet(),
         )
-        assertEquals(listOf(LoggedExit(last.index, last.attempt, false)), row.ends, "and does not show it as running")
+        assertEquals(listOf(LoggedExit(lastStarted.index, lastStarted.attempt, false)), row.ends, "shown as exited")
     }
 
     @Test
-    fun `a successor reads the same from a compacted log, whatever was compacted when`() =
+    fun `a successor loads the same state from a compacted log in generated histories`() =
         runBlocking<Unit> {
             var compacted = 0
             checkAll(PropTestConfig(seed = 31, iterations = 20), Arb.long()) { seed ->
                 val random = Random(seed)
                 val scenario = LogCompactionTest()
-                repeat(random.nextInt(0, 2)) { scenario.service(tasks = random.nextInt(30, 110)) }
-                repeat(random.nextInt(1, 3)) { scenario.array(tasks = random.nextInt(60, 110)) }
+                repeat(random.nextInt(0, 2)) { scenario.serviceJob(tasks = random.nextInt(30, 110)) }
+                repeat(random.nextInt(1, 3)) { scenario.arrayJob(tasks = random.nextInt(60, 110)) }
                 var scheduler = scenario.leader
                 repeat(300) {
-                    val running = placements(scheduler).keys
+                    val running = recordedAttempts(scheduler).keys
                     val ended = running.shuffled(random).take(random.nextInt(0, 4))
-                    // More jobs at once than one batch has preconditions for.
+                    // Adds more jobs at once than one batch has preconditions for.
                     if (random.nextInt(40) == 0) repeat(15) { scheduler.job { it.copy(tasks = 1, cpus = 0.01) } }
-                    scenario.round(scheduler, ended.associateWith { scenario.causeFor(scheduler, it, random) })
+                    scenario.heartbeatRound(scheduler, ended.associateWith { scenario.causeFor(scheduler, it, random) })
                     if (random.nextInt(60) == 0) scheduler = scheduler.successor()
                 }
-                // Exits wait for a second at most before they are logged.
+                // Exits wait at most one second before they are logged.
                 scheduler.now += 2.seconds
                 scheduler.write()
                 if (scheduler.hasCopies()) compacted++
                 val successor = scheduler.successor()
-                val difference = done(scheduler).filter { (job, tasks) -> done(successor)[job] != tasks }
-                assertEquals(emptyMap<String, List<Int>>(), difference, "seed $seed: done")
-                // What exited may be read as running, until the next heartbeat is reconciled; what runs must be known.
-                val read = placements(successor)
-                for ((task, attempt) in placements(scheduler)) assertEquals(attempt, read[task], "seed $seed: $task")
+                val difference = doneTasks(scheduler).filter { (job, tasks) -> doneTasks(successor)[job] != tasks }
+                assertEquals(emptyMap<String, List<Int>>(), difference, "seed $seed: done tasks")
+                // A task that exited may be loaded as running until the next heartbeat is reconciled. A task that runs
+                // must be loaded.
+                val loaded = recordedAttempts(successor)
+                for ((task, attempt) in recordedAttempts(scheduler)) assertEquals(attempt, loaded[task], "seed $seed: $task")
                 for (job in scheduler.scheduler.jobs.values) {
-                    val known = successor.scheduler.jobs.getValue(job.spec.id)
+                    val loadedJob = successor.scheduler.jobs.getValue(job.spec.id)
                     val highest = scenario.highestRecorded[job.spec.id] ?: 0L
-                    assertTrue(known.highestAttempt() >= highest, "seed $seed: attempts only rise")
+                    assertTrue(loadedJob.highestAttempt() >= highest, "seed $seed: attempt numbers only rise")
                 }
             }
             assertTrue(compacted >= 5, "the log was compacted in $compacted runs")
--- a/src/test/kotlin/umberslip/scheduling/RecordLoaderTest.kt
+++ b/src/test/kotlin/umberslip/scheduling/RecordLoaderTest.kt
@@ -10,24 +10,24 @@
 import kotlin.random.Random
 import kotlin.time.Duration.Companion.seconds
 
-/** What a new leader loads from the records. */
+/** The state that a new leader loads from the records. */
 class RecordLoaderTest {
     private val leader = TestScheduler()
 
     @Test
-    fun `a new leader holds recorded tasks until their machine's heartbeat carries its term`() {
+    fun `a new leader keeps recorded tasks assigned until their machine's heartbeat has its term`() {
         val job = leader.job()
         leader.heartbeat("m")
         leader.dispatch("m")
         leader.write()
         val next = leader.successor()
-        val taken = next.scheduler.jobs.getValue(job.spec.id)
-        assertEquals(3, taken.assigned.size)
+        val loaded = next.scheduler.jobs.getValue(job.spec.id)
+        assertEquals(3, loaded.assigned.size)
         next.heartbeat("m", fencingToken = Term(5), sequenceNumber = 10)
         next.heartbeat("other", type = "large")
         next.dispatch("other")
         assertEquals(emptyList<TaskId>(), next.starts("other"))
-        // The heartbeat shows that the start never arrived: it is sent again, here.
+        // The heartbeat shows that the start commands never arrived, so they are sent again to the same machine.
         next.heartbeat("m", sequenceNumber = 11)
         assertEquals(3, next.starts("m").size)
         next.now += 31.seconds
@@ -36,11 +36,11 @@
         next.write()
         next.now += 12.seconds
         next.tick()
-        assertEquals(0, taken.assigned.size)
+        assertEquals(0, loaded.assigned.size)
     }
 
     @Test
-    fun `a successor loads what was recorded, through generated histories`() {
+    fun `a successor loads what was recorded in generated histories`() {
         for (seed in 1..40) {
             val random = Random(seed)
             val leader = TestScheduler()
@@ -54,15 +54,15 @@
                 leader.dispatch(machineName)
                 leader.write()
             }
-            // Progress may be written later, but every start is there, and nothing is done that is not.
+            // Exits may not be recorded yet, but every start is loaded, and no task is loaded as done that is not.
             val next = leader.successor()
             for ((id, job) in leader.scheduler.jobs) {
                 val loaded = next.scheduler.jobs.getValue(id)
-                val certain = job.assigned.values.associate { it.index to (it.attempt to it.machineName) }
+                val expected = job.assigned.values.associate { it.index to (it.attempt to it.machineName) }
                 assertEquals(
-                    certain,
+                    expected,
                     loaded.assigned.values
-                        .filter { it.index in certain }
+                        .filter { it.index in expected }
                         .associate { it.index to (it.attempt to it.machineName) },
                     "seed $seed",
                 )
@@ -81,8 +81,9 @@
     }
 
     @Test
-    fun `tasks whose zone is not known yet count against a job's spread`() {
-        // Found by the rules test: after a failover, half of a job's tasks were placed beside the other half.
+    fun `tasks whose zone is not known yet count against the zone limit of a job with spread`() {
+        // Guards against a failover after which half of a job's tasks were placed in the zone of the other half, as
+        // RulesTest found.
         val job = leader.job { it.copy(tasks = 4, spread = true) }
         leader.heartbeat("m", zone = "east")
         leader.dispatch("m")
--- a/src/test/kotlin/umberslip/scheduling/RecordedWritesTest.kt
+++ b/src/test/kotlin/umberslip/scheduling/RecordedWritesTest.kt
@@ -14,7 +14,7 @@
 import umberslip.store.Write
 import kotlin.time.Duration.Companion.seconds
 
-/** What is written, under which preconditions, and what becomes of writes that fail. */
+/** Which records are written under which preconditions, and how failed writes are handled. */
 class RecordedWritesTest {
     private val leader = TestScheduler()
 
@@ -31,14 +31,14 @@
     }
 
     @Test
-    fun `failed and indeterminate writes are resolved by what the store shows`() {
+    fun `failed and indeterminate writes are resolved by the contents of the store`() {
         val job = leader.job()
         leader.heartbeat("m")
         leader.dispatch("m")
         val batch = leader.batch() ?: error("nothing to write")
         leader.scheduler.writeAheadLog.notApplied(batch)
         batch.writes.forEach { leader.scheduler.resolve(it.key, Version(77), null) }
-        assertEquals(emptyList<WorkerCommand>(), leader.commands("m"), "not recorded for sure")
+        assertEquals(emptyList<WorkerCommand>(), leader.commands("m"), "the starts may not be recorded")
         val again = leader.batch() ?: error("nothing to write again")
         assertTrue(again.preconditions.any { it.version == Version(77) })
         leader.scheduler.resolve("u/job/${job.spec.id.value}", null, null)
@@ -46,20 +46,20 @@
     }
 
     @Test
-    fun `a start is recorded only while its job is not cancelled, and no transaction outgrows its preconditions`() {
-        // Found by reading: another controller's cancellation and the record of a start crossed, and the start was
-        // sent.
+    fun `a start is recorded only while its job is not cancelled, and no transaction has too many preconditions`() {
+        // Guards against a start that was sent although another controller cancelled its job while the start was being
+        // recorded.
         val jobs = List(40) { leader.job { it.copy(tasks = 1, cpus = 0.1, memoryGb = 0.1) } }
         leader.heartbeat("m")
         leader.dispatch("m")
-        val all = leader.settings.storeLimits.transactionOps
+        val maxOps = leader.settings.storeLimits.transactionOps
         val first = leader.batch() ?: error("nothing to write")
         assertTrue(first.starts.isNotEmpty())
         for (start in first.starts) {
             val ofJob = Precondition(Keys.job(start.job.spec.id), start.job.record.version)
             assertTrue(ofJob in first.preconditions, "${start.id}")
         }
-        assertTrue(first.preconditions.size <= all * 4, "${first.preconditions.size} preconditions")
+        assertTrue(first.preconditions.size <= maxOps * 4, "${first.preconditions.size} preconditions")
         val cancelled = first.starts.first().job
         leader.scheduler.writeAheadLog.notApplied(first)
         leader.cancel(cancelled)
@@ -76,9 +76,9 @@
     }
 
     @Test
-    fun `a batch takes all starts of the jobs that it has preconditions for, the highest priority first`() {
-        // Found on a generated day with lowered limits: a few starts of ten jobs filled a batch's preconditions, and
-        // thousands waited.
+    fun `a batch holds all starts of the jobs that it has preconditions for, the highest priority first`() {
+        // Guards against batches whose preconditions are used up by a few starts each of ten jobs, while thousands of
+        // starts wait. It occurred in a generated workload with lowered limits.
         val jobs =
             List(40) { n ->
                 leader.job {
@@ -92,7 +92,7 @@
             }
         leader.heartbeat("m")
         leader.heartbeat("n")
-        // Placed in turn, so that the starts of all jobs are mixed.
+        // The jobs are placed in turn, so that their starts are mixed.
         repeat(4) {
             jobs.forEach { job ->
                 val lastDigit =
@@ -113,21 +113,21 @@
     }
 
     @Test
-    fun `after a fence everything is written under the leader's new version`() {
+    fun `after a fence everything is written under the new version of the leader's record`() {
         leader.job()
         leader.heartbeat("m")
         leader.dispatch("m")
-        val late = leader.batch() ?: error("nothing to write")
+        val fenced = leader.batch() ?: error("nothing to write")
         leader.scheduler.writeAheadLog.fenced(Version(500))
         val next = leader.batch() ?: error("nothing to write again")
         assertEquals(
             listOf(Version(1), Version(500)),
-            listOf(late, next).map { batch -> batch.preconditions.single { it.key == Keys.LEADER }.version },
+            listOf(fenced, next).map { batch -> batch.preconditions.single { it.key == Keys.LEADER }.version },
         )
     }
 
     @Test
-    fun `a batch that is rejected for its size is not written again as it is`() {
+    fun `a batch that is rejected for its size is followed by smaller ones`() {
         repeat(30) { leader.job { it.copy(tasks = 10, cpus = 0.01, memoryGb = 0.01) } }
         leader.heartbeat("m")
         leader.dispatch("m")
@@ -144,21 +144,21 @@
         )
         repeat(9) { leader.scheduler.writeAheadLog.rejected(second) }
         leader.write()
-        assertEquals(300, leader.starts("m").size, "all are written in the end")
+        assertEquals(300, leader.starts("m").size, "all starts are recorded in the end")
     }
 
     @Test
-    fun `a job that ends soon leaves no progress record`() {
+    fun `a progress record is written only for a job that does not end soon`() {
         val job = leader.job()
         leader.startAll(job)
         leader.now += 10.seconds
         leader.heartbeat("m", *job.placedTasks().map { ended(it, ExitCause.DONE) }.toTypedArray())
         leader.write()
         assertTrue(leader.written.none { Keys.asProgress(it.key) != null })
-        val long = leader.job()
-        leader.startAll(long)
+        val longJob = leader.job()
+        leader.startAll(longJob)
         leader.now += 30.seconds
         leader.write()
-        assertTrue(leader.written.any { Keys.asProgress(it.key)?.job == long.spec.id })
+        assertTrue(leader.written.any { Keys.asProgress(it.key)?.job == longJob.spec.id })
     }
 }
