--- a/src/main/kotlin/umberslip/leadership/LeaderElection.kt
+++ b/src/main/kotlin/umberslip/leadership/LeaderElection.kt
@@ -186,7 +186,7 @@
         val lease = leaderLease.held?.lease ?: return
         val sent = clock.now()
         try {
-            if (store.renew(lease)) leaderLease.renewed(sent) else leaderLease.lost("its lease has expired")
+            if (store.renew(lease)) leaderLease.renewed(sent) else leaderLease.lost("the leader's lease has expired")
         } catch (e: ServiceException) {
             log.debug("leader's lease not renewed: reason={}", e.message)
         }
