--- a/src/main/kotlin/umberslip/scheduling/BatchComposer.kt
+++ b/src/main/kotlin/umberslip/scheduling/BatchComposer.kt
@@ -76,7 +76,9 @@
     }
 
     private companion object {
-        /** A progress record is due this long after the block's oldest unflushed edit, unless its job is terminal. */
+        /**
+         * A progress record is written once it has lacked an edit for this long, unless its job is terminal by then.
+         */
         val MAX_FLUSH_DELAY = 20.seconds
     }
 }
--- a/src/main/kotlin/umberslip/scheduling/BatchWriter.kt
+++ b/src/main/kotlin/umberslip/scheduling/BatchWriter.kt
@@ -38,7 +38,7 @@
     private var flushTimer: Job? = null
     private var lastBatchAt = Duration.ZERO
 
-    /** The least time between batches, whatever the write rate, since every controller reads each batch. */
+    /** The minimum time between batches, whatever the write rate, since every controller reads each batch. */
     private val minBatchInterval = maxOf(MIN_BATCH_INTERVAL, (MIN_WRITES / limits.writeRps).seconds)
 
     /**
--- a/src/main/kotlin/umberslip/scheduling/DependencyLookups.kt
+++ b/src/main/kotlin/umberslip/scheduling/DependencyLookups.kt
@@ -62,7 +62,7 @@
         /** An outcome that could not be read, or did not exist yet, is requested again after this time. */
         val RETRY_INTERVAL = 2.seconds
 
-        /** The most lookups that start together, so that the request rate is left to reads of the records. */
+        /** Limits the lookups that start at once, to leave the request rate to reads of the records. */
         const val MAX_LOOKUPS_AT_ONCE = 10
     }
 }
--- a/src/main/kotlin/umberslip/scheduling/Leader.kt
+++ b/src/main/kotlin/umberslip/scheduling/Leader.kt
@@ -200,7 +200,7 @@
         dependencyLookups.startLookups(scheduler, now)
         responder.respondToOverdue(scheduler, now)
         batchWriter.flush(scheduler, now)
-        statusLog.update(now)
+        statusLog.logIfDue(now)
     }
 
     // ---- writes ----
@@ -211,7 +211,7 @@
     ) {
         batchWriter.writeCompleted()
         val scheduler = scheduler ?: return
-        // The current state did not write a batch of a former term, and has loaded the records since then.
+        // The outcome of a former term's batch is ignored: the current state has loaded the records since then.
         if (message.scheduler === scheduler && !handleOutcome(scheduler, message.batch, message.result, now)) return
         batchWriter.flush(scheduler, clock.now())
     }
@@ -297,7 +297,7 @@
     }
 
     private companion object {
-        /** A fraction of the shortest time-out that maintenance and the pending responses have. */
+        /** A fraction of the shortest timeout that maintenance and pending responses have. */
         val TICK_INTERVAL = 200.milliseconds
     }
 }
--- a/src/main/kotlin/umberslip/scheduling/LeaderStatusLog.kt
+++ b/src/main/kotlin/umberslip/scheduling/LeaderStatusLog.kt
@@ -18,7 +18,7 @@
     private var lastLoggedAt = Duration.ZERO
 
     /** Logs a line if one is due; called on every tick while this controller leads. */
-    fun update(now: Duration) {
+    fun logIfDue(now: Duration) {
         val current = leaderLease.permissionToStart(now)
         if (current == permission && now - lastLoggedAt < LOG_INTERVAL) return
         permission = current
--- a/src/main/kotlin/umberslip/scheduling/LogCompaction.kt
+++ b/src/main/kotlin/umberslip/scheduling/LogCompaction.kt
@@ -8,11 +8,11 @@
 /**
  * Copies everything that the log has to hold for a progress block into as few entries as possible.
  *
- * A progress record may be larger than a value while most of its tasks run, since the size of progress blocks follows
- * the first of the key-value store's limits. Until the record fits, every log entry that affects the block is retained.
- * A copy of everything that is still valid in those entries frees them. The copy consists of ordinary log entries,
- * which every version reads: later entries take precedence over earlier ones, and a start whose task has exited
- * meanwhile is reconciled with the next heartbeat of its machine.
+ * A progress record may be larger than a value while most of its tasks run: progress blocks are sized by the first of
+ * the key-value store's value limits, and a later limit may be lower. Until the record fits, every log entry that
+ * affects the block is retained. A copy of everything that is still valid in those entries frees them. The copy
+ * consists of ordinary log entries, which every version reads: later entries take precedence over earlier ones, and a
+ * start whose task has exited meanwhile is reconciled with the next heartbeat of its machine.
  */
 internal class LogCompaction(
     block: ProgressBlock,
--- a/src/main/kotlin/umberslip/scheduling/LogComposer.kt
+++ b/src/main/kotlin/umberslip/scheduling/LogComposer.kt
@@ -10,7 +10,7 @@
     private val transaction: TransactionBuilder,
     private val pending: PendingWrites,
     private val slots: LogSlots,
-    /** The most preconditions that the transaction may have with those on job records; the slots bring more. */
+    /** The limit of the transaction's preconditions with those on job records, before those on slots are added. */
     private val maxPreconditions: Int,
     private val now: Duration,
 ) {
@@ -117,7 +117,7 @@
         /** Slots that other entries leave free for copies of progress blocks, which need slots before they free any. */
         const val SLOTS_KEPT_FOR_COMPACTION = 4
 
-        /** Exits wait at most this long for starts to be written together with. */
+        /** Exits wait at most this long to be written together with starts. */
         val MAX_EXIT_DELAY = 1.seconds
     }
 }
--- a/src/main/kotlin/umberslip/scheduling/LogSlot.kt
+++ b/src/main/kotlin/umberslip/scheduling/LogSlot.kt
@@ -31,9 +31,8 @@
     }
 
     /**
-     * Whether the slot may be overwritten. This is asked for every slot whenever there is something to log. An edit
-     * that is stored elsewhere is therefore removed, so that it is not checked again; it never ceases to be stored
-     * there.
+     * Whether the slot may be overwritten. Every slot is checked whenever there is something to log. Edits that are
+     * stored elsewhere remain so, and are therefore removed here instead of being checked again.
      */
     val isFree: Boolean
         get() {
@@ -58,7 +57,7 @@
     /** The sequence number of the newest entry; it rises with every entry, also across terms. */
     val sequenceNumber: Long get() = lastSequenceNumber
 
-    /** Returns the slot with that number, or null if only a former leader, which had more slots, used it. */
+    /** Returns the slot with that number, or null if this leader does not use it; a former leader may have. */
     operator fun get(number: Int): LogSlot? = slots.getOrNull(number)
 
     fun nextSequenceNumber(): Long = ++lastSequenceNumber
--- a/src/main/kotlin/umberslip/scheduling/PendingWrites.kt
+++ b/src/main/kotlin/umberslip/scheduling/PendingWrites.kt
@@ -3,7 +3,7 @@
 import umberslip.store.Version
 import kotlin.time.Duration
 
-/** What has to be written, in the order in which it became so. It is removed once a write of it is applied. */
+/** The pending writes, each kind in the order of arrival. They are removed once a batch that holds them is applied. */
 internal class PendingWrites {
     /** Assignments whose start is not recorded. */
     val starts = LinkedHashSet<Assignment>()
@@ -17,7 +17,7 @@
     /** Jobs that are terminal, but whose outcome is not recorded. */
     val finishedJobs = LinkedHashSet<RunningJob>()
 
-    /** Keys to be deleted; they are removed already when a batch takes them. */
+    /** Keys to be deleted. Unlike the others, they are removed from here as soon as they are added to a batch. */
     val obsoleteKeys = ArrayDeque<String>()
 
     /** Notes that a task of [block] changed, so that its progress record has to be written. */
--- a/src/main/kotlin/umberslip/scheduling/ProgressBlock.kt
+++ b/src/main/kotlin/umberslip/scheduling/ProgressBlock.kt
@@ -42,7 +42,7 @@
     /** The tasks that the block's record shows as done, counted from the block's first task. */
     var storedDone = BitSet()
 
-    /** When the oldest edit was made that the block's record does not hold; null if the record holds all edits. */
+    /** Since when the block's record has lacked an edit; null if it holds all edits. */
     var unflushedSince: Duration? = null
         private set
 
--- a/src/main/kotlin/umberslip/scheduling/RecordLoader.kt
+++ b/src/main/kotlin/umberslip/scheduling/RecordLoader.kt
@@ -72,7 +72,7 @@
             return
         }
         job.load(number, record)
-        for (placement in record.value.placed) restore(job, placement)
+        for (placement in record.value.placed) restoreAssignment(job, placement)
     }
 
     private fun loadLogEntry(
@@ -88,14 +88,14 @@
             // A progress record that was written after this entry contains it.
             fun containsEntry(block: ProgressBlock) = (stored?.get(block.number)?.value?.seq ?: 0L) >= entry.value.seq
             val starts = row.starts.filter { it.index < job.spec.tasks }
-            val ends = row.ends.filter { it.index < job.spec.tasks }
+            val exits = row.ends.filter { it.index < job.spec.tasks }
             for (start in starts) {
                 val block = job.block(start.index)
                 if (containsEntry(block)) continue
                 applyStart(job, block, start)
                 affectedBlocks += block
             }
-            for (exit in ends) {
+            for (exit in exits) {
                 val block = job.block(exit.index)
                 if (containsEntry(block)) continue
                 applyExit(job, exit)
@@ -112,7 +112,7 @@
     ) {
         // Later entries take precedence, since a task is placed again only once it is certainly off its former machine.
         job.assigned[start.index]?.let(assignments::detach)
-        if (!job.isDone(start.index)) restore(job, start)
+        if (!job.isDone(start.index)) restoreAssignment(job, start)
         block.lastAttempt = maxOf(block.lastAttempt, start.attempt)
         block.startLogged(start)
     }
@@ -126,7 +126,7 @@
         if (exit.done || assignment.attempt == exit.attempt) assignments.detach(assignment)
     }
 
-    private fun restore(
+    private fun restoreAssignment(
         job: RunningJob,
         placement: Placement,
     ) {
--- a/src/main/kotlin/umberslip/scheduling/RevokedRenewals.kt
+++ b/src/main/kotlin/umberslip/scheduling/RevokedRenewals.kt
@@ -27,7 +27,7 @@
         pending += stored.filter { it in knownMachines }
     }
 
-    /** Adds the record to [transaction] if it has to change. Machines that are not in [knownMachines] are removed. */
+    /** Drops [pending] machines that are not in [knownMachines], and adds the record to [transaction] if it changes. */
     fun addTo(
         transaction: TransactionBuilder,
         knownMachines: Set<MachineName>,
--- a/src/main/kotlin/umberslip/scheduling/TransactionBuilder.kt
+++ b/src/main/kotlin/umberslip/scheduling/TransactionBuilder.kt
@@ -45,7 +45,7 @@
         return writes.size + count <= limits.maxWrites && bytesWithEntries <= limits.transactionBytes
     }
 
-    /** Returns whether one more finished job fits, if the transaction may have [maxWrites] writes with it. */
+    /** Returns whether one more finished job fits into a transaction of at most [maxWrites] writes. */
     fun hasSpaceForFinishedJob(maxWrites: Int): Boolean =
         writes.size + FINISHED_JOB_WRITES <= maxWrites &&
             preconditions.size + FINISHED_JOB_PRECONDITIONS <= limits.maxWrites * PRECONDITIONS_PER_WRITE
--- a/src/main/kotlin/umberslip/scheduling/WriteAheadLog.kt
+++ b/src/main/kotlin/umberslip/scheduling/WriteAheadLog.kt
@@ -53,7 +53,7 @@
         pending.blockEdited(assignment.job.block(assignment.index), now)
     }
 
-    /** Removes a start that is not recorded yet, since it will not take place. */
+    /** Removes the start of a task that was withdrawn before its start was recorded. */
     fun withdrawn(assignment: Assignment) {
         pending.starts -= assignment
     }
@@ -125,7 +125,7 @@
         now: Duration,
     ): WriteBatch? {
         val transaction = TransactionBuilder(budget.limitsFor(maxWrites))
-        // Every write may have one precondition on its own key; the preconditions on job records share the others.
+        // Each write may need one precondition on its own key; the preconditions on job records share the rest.
         val maxLogPreconditions =
             limits.transactionOps * (TransactionBuilder.PRECONDITIONS_PER_WRITE - 1) - OTHER_PRECONDITIONS
         BatchComposer(transaction, pending, slots, now).compose(revokedRenewals, knownMachines, maxLogPreconditions)
@@ -140,7 +140,7 @@
         batch.revokedRenewals?.let { revokedRenewals.applied(it, version) }
         for ((block, edit) in batch.copiedBlocks) block.copied(edit)
         batch.progressWrites.forEach { progressWritten(it, version) }
-        for ((number, edits) in batch.logEntryWrites) slots[number]?.entryWritten(edits, version)
+        for ((slotNumber, edits) in batch.logEntryWrites) slots[slotNumber]?.entryWritten(edits, version)
         for (exit in batch.exits) {
             exit.logged()
             pending.exits -= exit
--- a/src/main/kotlin/umberslip/scheduling/WriteBatch.kt
+++ b/src/main/kotlin/umberslip/scheduling/WriteBatch.kt
@@ -28,7 +28,7 @@
     val revokedRenewals: Set<MachineName>?,
 )
 
-/** The write of a progress record that holds the edits of [block] up to number [edit], with its [done] tasks. */
+/** The write of a progress record, which holds the edits of [block] up to the number [edit] and its [done] tasks. */
 class ProgressWrite(
     val block: ProgressBlock,
     val edit: Long,
@@ -41,8 +41,8 @@
     val outcome: JobOutcome,
 )
 
-/** The write of a log entry to the slot [number], with the [edits] of the progress blocks that it affects. */
+/** The write of a log entry to the slot [slotNumber], with the [edits] of the progress blocks that it affects. */
 data class LogEntryWrite(
-    val number: Int,
+    val slotNumber: Int,
     val edits: List<BlockEdit>,
 )
--- a/src/test/kotlin/umberslip/scheduling/LogCompactionTest.kt
+++ b/src/test/kotlin/umberslip/scheduling/LogCompactionTest.kt
@@ -57,7 +57,7 @@
         scheduler.heartbeat("m", *reported.toTypedArray())
         scheduler.dispatch("m")
         scheduler.write()
-        for ((task, attempt) in recordedAttempts(scheduler)) highestRecorded.merge(task.job, attempt, ::maxOf)
+        for ((task, attempt) in attempts(scheduler)) highestRecorded.merge(task.job, attempt, ::maxOf)
     }
 
     private fun reported(
@@ -70,7 +70,7 @@
             TestScheduler.ended(task.id, task.attempt, cause)
         }
 
-    private fun recordedAttempts(scheduler: TestScheduler): Map<TaskId, Long> =
+    private fun attempts(scheduler: TestScheduler): Map<TaskId, Long> =
         scheduler.scheduler.jobs.values
             .flatMap { it.assigned.values }
             .filter { it.recorded }
@@ -94,7 +94,7 @@
             assertFalse(hasUnrecorded, "round $number: a start is not recorded")
         }
         assertTrue(leader.written.none { it.key == Keys.progress(service.spec.id, 0) }, "its record never fits")
-        assertEquals(recordedAttempts(leader), recordedAttempts(leader.successor()))
+        assertEquals(attempts(leader), attempts(leader.successor()))
     }
 
     @Test
@@ -130,7 +130,7 @@
                 repeat(random.nextInt(1, 3)) { scenario.arrayJob(tasks = random.nextInt(60, 110)) }
                 var scheduler = scenario.leader
                 repeat(300) {
-                    val running = recordedAttempts(scheduler).keys
+                    val running = attempts(scheduler).keys
                     val ended = running.shuffled(random).take(random.nextInt(0, 4))
                     // Adds more jobs at once than one batch has preconditions for.
                     if (random.nextInt(40) == 0) repeat(15) { scheduler.job { it.copy(tasks = 1, cpus = 0.01) } }
@@ -146,8 +146,8 @@
                 assertEquals(emptyMap<String, List<Int>>(), difference, "seed $seed: done tasks")
                 // A task that exited may be loaded as running until the next heartbeat is reconciled. A task that runs
                 // must be loaded.
-                val loaded = recordedAttempts(successor)
-                for ((task, attempt) in recordedAttempts(scheduler)) assertEquals(attempt, loaded[task], "seed $seed: $task")
+                val loaded = attempts(successor)
+                for ((task, attempt) in attempts(scheduler)) assertEquals(attempt, loaded[task], "seed $seed: $task")
                 for (job in scheduler.scheduler.jobs.values) {
                     val loadedJob = successor.scheduler.jobs.getValue(job.spec.id)
                     val highest = scenario.highestRecorded[job.spec.id] ?: 0L
