--- a/src/main/kotlin/umberslip/scheduling/BatchWriter.kt
+++ b/src/main/kotlin/umberslip/scheduling/BatchWriter.kt
@@ -51,12 +51,12 @@
     ) {
         if (isWriting || !leaderLease.mayStart(now)) return
         // The batch is composed only after the wait, so that it holds the writes that become due during the wait.
-        val wait = maxOf(writeRateLimiter.wait(MIN_WRITES), lastBatchAt + minBatchInterval - now)
+        val wait = maxOf(writeRateLimiter.timeUntilAvailable(MIN_WRITES), lastBatchAt + minBatchInterval - now)
         if (wait > Duration.ZERO) {
             flushAfter(wait)
             return
         }
-        val maxWrites = minOf(limits.transactionOps, writeRateLimiter.available().coerceAtLeast(MIN_WRITES))
+        val maxWrites = minOf(limits.transactionOps, writeRateLimiter.availableTokens().coerceAtLeast(MIN_WRITES))
         val batch = scheduler.writeAheadLog.nextBatch(maxWrites, scheduler.machines.keys, now) ?: return
         isWriting = true
         lastBatchAt = now
@@ -105,7 +105,7 @@
             if (result is TransactionResult.PreconditionFailed) resolveFailedPreconditions(scheduler, result.failed)
             result
         } catch (e: RateLimitedException) {
-            writeRateLimiter.lower()
+            writeRateLimiter.lowerRate()
             delayAfterRefusal(e)
         } catch (e: ServiceUnavailableException) {
             delayAfterRefusal(e)
