--- a/src/main/kotlin/umberslip/agents/FollowerLeaseRenewal.kt
+++ b/src/main/kotlin/umberslip/agents/FollowerLeaseRenewal.kt
@@ -26,7 +26,7 @@
      * Takes account of a heartbeat; false for a late copy. Only a worker that receives responses stays here and sends
      * the next one, so it takes two heartbeats in a row to show that the machine's lease was renewed.
      */
-    fun isNew(heartbeat: Heartbeat): Boolean {
+    fun acceptIfNew(heartbeat: Heartbeat): Boolean {
         val name = heartbeat.machineName
         val newest = newestVersions[name]
         if (newest != null && heartbeat.heartbeatVersion <= newest) return false
--- a/src/main/kotlin/umberslip/daemon/Controller.kt
+++ b/src/main/kotlin/umberslip/daemon/Controller.kt
@@ -165,7 +165,7 @@
         events: List<RecordEvent>,
         readBegan: Duration,
     ) {
-        leaderLease.read(readBegan)
+        leaderLease.recordsRead(readBegan)
         events.filterIsInstance<RecordEvent.LeaderChanged>().forEach(::leaderChanged)
         if (events.isNotEmpty() && leaderLease.isLeader) leader.enqueue(LeaderMessage.RecordsChanged(events))
     }
@@ -175,7 +175,7 @@
         heartbeats.leaderMember = record?.member
         // Compared by the term, since a leader that fences its late writes writes its own record anew.
         if (leaderLease.isLeader && record?.term != leaderLease.term) {
-            leaderLease.lost("the record names ${record?.member ?: "nobody"}")
+            leaderLease.markLost("the record names ${record?.member ?: "nobody"}")
         }
     }
 
--- a/src/main/kotlin/umberslip/daemon/Daemon.kt
+++ b/src/main/kotlin/umberslip/daemon/Daemon.kt
@@ -66,7 +66,7 @@
             Instant::now,
             metrics,
             { peers.trySend(PeersMessage.Announce) },
-            peers::reaches,
+            peers::isReachable,
             peers::peerHealth,
             metrics::scrape,
         )
--- a/src/main/kotlin/umberslip/daemon/HeartbeatReceiver.kt
+++ b/src/main/kotlin/umberslip/daemon/HeartbeatReceiver.kt
@@ -68,7 +68,7 @@
         heartbeat: Heartbeat,
         respond: (Response) -> Unit,
     ) {
-        if (!isServedByStore() || !renewal.isNew(heartbeat)) {
+        if (!isServedByStore() || !renewal.acceptIfNew(heartbeat)) {
             respond(Response.MISDIRECTED)
             return
         }
--- a/src/main/kotlin/umberslip/leadership/LeaderElection.kt
+++ b/src/main/kotlin/umberslip/leadership/LeaderElection.kt
@@ -52,7 +52,7 @@
         scope.launchLoop("leader election", log) {
             try {
                 if (leaderLease.isLeader) lead() else follow()
-                failures.succeeded()
+                failures.reset()
             } catch (e: ServiceException) {
                 logFailure(e.message)
                 delay(RETRY)
@@ -61,12 +61,12 @@
 
     private fun logFailure(reason: String?) {
         val now = clock.now()
-        if (!failures.failed(now)) return
+        if (!failures.countFailure(now)) return
         log.warn(
             "leader election waits for the key-value store: reason={} failures={} for={}",
             reason,
             failures.count,
-            failures.lasted(now),
+            failures.duration(now),
         )
     }
 
@@ -177,7 +177,7 @@
         if (!leaderLease.isLost) renewOnce()
         // Nobody waits for the end of this leader's grace.
         if (leaderLease.storeServesOthersOnly(clock.now(), peerHealth())) {
-            leaderLease.lost("the key-value store serves others only")
+            leaderLease.markLost("the key-value store serves others only")
         }
         if (leaderLease.isLost) stepDown() else delay(renewalInterval)
     }
@@ -186,7 +186,7 @@
         val lease = leaderLease.held?.lease ?: return
         val sent = clock.now()
         try {
-            if (store.renew(lease)) leaderLease.renewed(sent) else leaderLease.lost("its lease has expired")
+            if (store.renew(lease)) leaderLease.renewed(sent) else leaderLease.markLost("its lease has expired")
         } catch (e: ServiceException) {
             log.debug("leader's lease not renewed: reason={}", e.message)
         }
--- a/src/main/kotlin/umberslip/leadership/LeaderLease.kt
+++ b/src/main/kotlin/umberslip/leadership/LeaderLease.kt
@@ -79,22 +79,22 @@
     }
 
     /** A read of the records that began then succeeded, so all cancellations acknowledged before are known. */
-    fun read(began: Duration) {
+    fun recordsRead(began: Duration) {
         readAt = maxOf(readAt, began)
     }
 
     /** Leadership is lost for the reason [why]. Nothing is allowed from now on. */
-    fun lost(why: String) {
+    fun markLost(why: String) {
         if (isLeader && !isLost) LOG.warn("leadership lost: term={} reason={}", term?.value, why)
         isLost = true
     }
 
     /** A worker has seen a higher term, so another controller leads. */
-    fun superseded() = lost("a worker has seen a higher term")
+    fun superseded() = markLost("a worker has seen a higher term")
 
     /** Hardly any worker reaches this controller; they may still reach another, which should lead for a while. */
     fun lostContactWithWorkers(now: Duration) {
-        lost("no worker reaches this controller")
+        markLost("no worker reaches this controller")
         abstainsUntil = now + ABSTENTION
     }
 
--- a/src/main/kotlin/umberslip/monitoring/FailureSeries.kt
+++ b/src/main/kotlin/umberslip/monitoring/FailureSeries.kt
@@ -15,7 +15,7 @@
     private var loggedAt = Duration.ZERO
 
     /** Counts a failure; true if it is to be logged. */
-    fun failed(now: Duration): Boolean {
+    fun countFailure(now: Duration): Boolean {
         count++
         if (count == 1) began = now
         if (count > 1 && now - loggedAt < REPEAT_INTERVAL) return false
@@ -24,10 +24,10 @@
     }
 
     /** How long ago the series began. */
-    fun lasted(now: Duration): Duration = if (count == 0) Duration.ZERO else now - began
+    fun duration(now: Duration): Duration = if (count == 0) Duration.ZERO else now - began
 
     /** Ends the series; the number of its failures. */
-    fun succeeded(): Int = count.also { count = 0 }
+    fun reset(): Int = count.also { count = 0 }
 
     private companion object {
         val REPEAT_INTERVAL = 30.seconds
--- a/src/main/kotlin/umberslip/peers/Peers.kt
+++ b/src/main/kotlin/umberslip/peers/Peers.kt
@@ -64,11 +64,11 @@
     )
 
     /** Whether a controller has responded lately; that it has not does not prove that it is dead. */
-    fun reaches(member: String): Boolean = contacts[member]?.let { clock.now() - it.at < UNREACHABLE_AFTER } ?: false
+    fun isReachable(member: String): Boolean = contacts[member]?.let { clock.now() - it.at < UNREACHABLE_AFTER } ?: false
 
     /** As the peers said lately, by their pongs. */
     fun peerHealth(): PeerHealth {
-        val reachable = known.filter { reaches(it.member) }
+        val reachable = known.filter { isReachable(it.member) }
         return when {
             reachable.any { contacts[it.member]?.isServed == true } -> PeerHealth.SERVED
             reachable.isEmpty() -> PeerHealth.UNREACHABLE
--- a/src/main/kotlin/umberslip/provisioning/CloudReconciliation.kt
+++ b/src/main/kotlin/umberslip/provisioning/CloudReconciliation.kt
@@ -67,7 +67,7 @@
             val listed = cloud.listMachines()
             triedAt = now
             hasListInTerm = true
-            unreadableLists.succeeded()
+            unreadableLists.reset()
             return listed
         } catch (e: RequestRejectedException) {
             goOnWithoutList(e, now)
@@ -84,7 +84,7 @@
         // The first list of a term shows what former leaders provisioned: worth a wait, but not for ever.
         if (!hasListInTerm && now - electedAt < FIRST_LIST_PATIENCE) throw failure
         triedAt = now
-        if (!unreadableLists.failed(now)) return
+        if (!unreadableLists.countFailure(now)) return
         log.error(
             "no list of machines, going on without: reason={} failures={}",
             failure.message,
--- a/src/main/kotlin/umberslip/provisioning/Provisioner.kt
+++ b/src/main/kotlin/umberslip/provisioning/Provisioner.kt
@@ -103,12 +103,12 @@
     private suspend fun tryRound() {
         try {
             if (!runRound()) return
-            val failed = failures.succeeded() + unreadable.succeeded()
+            val failed = failures.reset() + unreadable.reset()
             if (failed > 0) log.info("cloud available again: failures={}", failed)
         } catch (e: ServiceException) {
             backOff(e.message)
         } catch (e: MalformedMessageException) {
-            if (unreadable.failed(clock.now())) {
+            if (unreadable.countFailure(clock.now())) {
                 log.error("cloud response unreadable: reason={} failures={}", e.message, unreadable.count)
             }
             stillUnprovisioned(UnprovisionedReason.CLOUD_UNAVAILABLE)
@@ -118,8 +118,8 @@
 
     private suspend fun backOff(reason: String?) {
         val now = clock.now()
-        if (failures.failed(now)) {
-            log.warn("cloud unavailable: reason={} failures={} for={}", reason, failures.count, failures.lasted(now))
+        if (failures.countFailure(now)) {
+            log.warn("cloud unavailable: reason={} failures={} for={}", reason, failures.count, failures.duration(now))
         }
         stillUnprovisioned(UnprovisionedReason.CLOUD_UNAVAILABLE)
         delay(FAILURE_DELAY)
--- a/src/main/kotlin/umberslip/records/RecordWatcher.kt
+++ b/src/main/kotlin/umberslip/records/RecordWatcher.kt
@@ -182,19 +182,19 @@
     }
 
     private fun succeeded(began: Duration) {
-        val failedReads = failures.succeeded()
+        val failedReads = failures.reset()
         if (failedReads > 0) log.info("records can be read again: failedReads={}", failedReads)
         confirmedAt = began
     }
 
     private fun failed(failure: ServiceException) {
         val now = clock.now()
-        if (!failures.failed(now)) return
+        if (!failures.countFailure(now)) return
         log.warn(
             "reading the records failed: reason={} failures={} for={}",
             failure.message,
             failures.count,
-            failures.lasted(now),
+            failures.duration(now),
         )
     }
 
--- a/src/main/kotlin/umberslip/scheduling/BatchWriter.kt
+++ b/src/main/kotlin/umberslip/scheduling/BatchWriter.kt
@@ -68,7 +68,7 @@
                 // After an unexpected failure the next leader finds out what became of the batch. Without the message
                 // nothing would ever be written again.
                 val isCurrent = leaderLease.term == scheduler.term
-                if (!isKnown && isCurrent) leaderLease.lost("the outcome of a batch is unknown")
+                if (!isKnown && isCurrent) leaderLease.markLost("the outcome of a batch is unknown")
                 send(LeaderMessage.WriteCompleted(scheduler, batch, result))
             }
         }
--- a/src/main/kotlin/umberslip/scheduling/Leader.kt
+++ b/src/main/kotlin/umberslip/scheduling/Leader.kt
@@ -222,7 +222,7 @@
             is TransactionResult.PreconditionFailed -> {
                 scheduler.writeAheadLog.notApplied(batch)
                 if (Keys.LEADER in result.failed) {
-                    leaderLease.lost("the leader's record is another's")
+                    leaderLease.markLost("the leader's record is another's")
                     return false
                 }
             }
--- a/src/main/kotlin/umberslip/scheduling/WriteResolution.kt
+++ b/src/main/kotlin/umberslip/scheduling/WriteResolution.kt
@@ -64,7 +64,7 @@
             is TransactionResult.Applied -> fenced(scheduler, result.version)
             is TransactionResult.PreconditionFailed -> fencedEarlier(scheduler, record)
             TransactionResult.LeaseExpired, is TransactionResult.Rejected -> {
-                leaderLease.lost("its lease has expired")
+                leaderLease.markLost("its lease has expired")
                 false
             }
         }
@@ -77,7 +77,7 @@
     ): Boolean {
         val entry = store.get(Keys.LEADER)
         if (entry != null && isRecord(record, entry)) return fenced(scheduler, entry.version)
-        leaderLease.lost("the leader's record is another's")
+        leaderLease.markLost("the leader's record is another's")
         return false
     }
 
--- a/src/test/kotlin/umberslip/agents/FollowerLeaseRenewalTest.kt
+++ b/src/test/kotlin/umberslip/agents/FollowerLeaseRenewalTest.kt
@@ -73,16 +73,16 @@
             agentEpoch: Long,
             sequenceNumber: Long,
         ) = heartbeat(HeartbeatVersion(agentEpoch, sequenceNumber))
-        assertTrue(renewal.isNew(heartbeat(1, 7)))
-        assertFalse(renewal.isNew(heartbeat(1, 7)))
-        assertFalse(renewal.isNew(heartbeat(1, 3)))
-        assertTrue(renewal.isNew(heartbeat(1, 9)))
+        assertTrue(renewal.acceptIfNew(heartbeat(1, 7)))
+        assertFalse(renewal.acceptIfNew(heartbeat(1, 7)))
+        assertFalse(renewal.acceptIfNew(heartbeat(1, 3)))
+        assertTrue(renewal.acceptIfNew(heartbeat(1, 9)))
         assertEquals(emptySet<MachineName>(), renewal.takeRenewed(100), "the worker received no response")
-        assertTrue(renewal.isNew(heartbeat(1, 10)))
+        assertTrue(renewal.acceptIfNew(heartbeat(1, 10)))
         assertEquals(setOf(MachineName("m")), renewal.takeRenewed(100))
         assertEquals(emptySet<MachineName>(), renewal.takeRenewed(100))
-        assertTrue(renewal.isNew(heartbeat(2, 1)))
-        assertFalse(renewal.isNew(heartbeat(1, 11)))
+        assertTrue(renewal.acceptIfNew(heartbeat(2, 1)))
+        assertFalse(renewal.acceptIfNew(heartbeat(1, 11)))
     }
 
     @Test
--- a/src/test/kotlin/umberslip/leadership/LeaderLeaseTest.kt
+++ b/src/test/kotlin/umberslip/leadership/LeaderLeaseTest.kt
@@ -37,7 +37,7 @@
                 val leaderLease = LeaderLease(timings)
                 leaderLease.acquired(firstRecord, 0.seconds)
                 leaderLease.renewed(renewed.milliseconds)
-                leaderLease.read(read.milliseconds)
+                leaderLease.recordsRead(read.milliseconds)
                 val at = now.milliseconds
                 assertEquals(
                     at < minOf(renewed, read).milliseconds + timings.leaderLeaseDuration - timings.margin,
