--- a/src/main/kotlin/umberslip/actor/Actor.kt
+++ b/src/main/kotlin/umberslip/actor/Actor.kt
@@ -9,15 +9,17 @@
 import java.util.concurrent.atomic.AtomicInteger
 
 /**
- * Owns its state, which only its own messages change, one after the other in the order in which they were sent.
+ * A component that owns its state. Only its messages change the state; it handles them one at a time, in the order in
+ * which they were sent.
  *
- * Messages from outside the controller are bounded by [capacity]: [trySend] refuses what does not fit, and its caller
- * decides what to do (the API for users answers 503, a worker's heartbeat is refused), so that no queue grows without
- * limit. What the controller's own parts send is never refused by [enqueue]: there is a bounded number of it, and the
- * outcome of a write, or a change of the records or of leadership, would never be sent again.
+ * [capacity] bounds the mailbox for messages from outside the controller. If that many messages are queued, [trySend]
+ * refuses the message and the caller decides what to do: the API for users responds with 503, and a worker's heartbeat
+ * is refused. [enqueue] never refuses messages from the controller's own components while the actor runs. The number of
+ * those messages is bounded, and some of them, such as the outcome of a write or a change of the records or of
+ * leadership, would never be sent again.
  *
- * Sending is safe from any thread; messages are handled on the threads of [scope]. [name] is that of the logger, after
- * `umberslip.`.
+ * Messages may be sent from any thread and are handled on the threads of [scope]. The actor's logger is named
+ * `umberslip.` followed by [name].
  */
 abstract class Actor<M : Any>(
     private val name: String,
@@ -26,26 +28,26 @@
 ) {
     protected val log = LoggerFactory.getLogger("umberslip.$name")
     private val mailbox = Channel<M>(Channel.UNLIMITED)
-    private val queued = AtomicInteger()
+    private val queuedCount = AtomicInteger()
 
-    /** For messages from outside, or hints; false where the mailbox is full. */
-    fun trySend(message: M): Boolean = queued.get() < capacity && enqueue(message)
+    /** Sends a message from outside the controller, or a hint. Returns false if the mailbox is full. */
+    fun trySend(message: M): Boolean = queuedCount.get() < capacity && enqueue(message)
 
-    /** For messages that must not be lost; false only once the actor has ended. */
+    /** Sends a message that must not be lost. Returns false only once the actor has ended. */
     fun enqueue(message: M): Boolean {
         if (!mailbox.trySend(message).isSuccess) return false
-        queued.incrementAndGet()
+        queuedCount.incrementAndGet()
         return true
     }
 
-    /** Handles one message. A failure is logged and affects that message alone. */
+    /** Handles one message. An exception is logged, and the next message is handled as usual. */
     protected abstract suspend fun receive(message: M)
 
-    /** Begins to handle messages, those sent before included; they are handled until [scope] ends. */
+    /** Starts to handle messages, including those sent earlier, until [scope] ends. */
     open fun start(): Job =
         scope.launch {
             for (message in mailbox) {
-                queued.decrementAndGet()
+                queuedCount.decrementAndGet()
                 try {
                     receive(message)
                 } catch (e: CancellationException) {
@@ -58,8 +60,8 @@
 
     companion object {
         /**
-         * Enough for the messages of the controller's own parts. An actor that gets requests adds one for each
-         * connection: requests are not pipelined, so there are never more of them at once.
+         * Sufficient for the messages of the controller's own components. An actor that receives requests adds the
+         * maximum number of connections: requests are not pipelined, so there is at most one at a time per connection.
          */
         const val DEFAULT_CAPACITY = 2048
     }
--- a/src/main/kotlin/umberslip/actor/Loops.kt
+++ b/src/main/kotlin/umberslip/actor/Loops.kt
@@ -8,25 +8,26 @@
 import org.slf4j.Logger
 import kotlin.time.Duration.Companion.seconds
 
-/** A loop that goes on at once could do nothing but fail. */
+/** The delay after a failed iteration, which keeps a loop from failing continuously without a pause. */
 private val FAILURE_DELAY = 1.seconds
 
 /**
- * Runs [round] again and again until this scope ends; each round waits by itself. A round that fails is logged and
- * affects that round alone: what depends on the loop, as provisioning does, would otherwise stand still for ever.
+ * Runs [iteration] repeatedly until this scope ends. Each iteration must include its own delay. A failed iteration is
+ * logged and the loop continues; otherwise the work that depends on the loop, such as provisioning, would stop
+ * permanently.
  */
 fun CoroutineScope.launchLoop(
     name: String,
     log: Logger,
-    round: suspend () -> Unit,
+    iteration: suspend () -> Unit,
 ): Job =
     launch {
         while (true) {
             try {
-                round()
+                iteration()
             } catch (e: Exception) {
                 ensureActive()
-                log.error("round of a loop failed: loop={}", name, e)
+                log.error("loop iteration failed, retrying: loop={}", name, e)
                 delay(FAILURE_DELAY)
             }
         }
--- a/src/main/kotlin/umberslip/leadership/LeaderElection.kt
+++ b/src/main/kotlin/umberslip/leadership/LeaderElection.kt
@@ -27,10 +27,11 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * Acquires, renews and gives up the leader's record, of which there is one.
+ * Acquires and renews leadership for this controller, and gives it up.
  *
- * The record is attached to a lease of the key-value store, so it disappears when its leader stops renewing the lease.
- * Whoever then writes it, under the next term, leads. Runs on the actors' thread.
+ * A single record names the leader. It is attached to a lease of the key-value store, so it disappears when the leader
+ * stops renewing the lease. The controller that then writes the record, under the next term, is the new leader. Runs on
+ * the actors' thread.
  */
 class LeaderElection(
     private val scope: CoroutineScope,
@@ -47,15 +48,15 @@
     private val failures = FailureSeries()
     private val renewalInterval = timings.leaderLeaseDuration / RENEWALS_PER_LEASE
 
-    /** Takes part in elections until [scope] ends. */
+    /** Starts to take part in elections, until [scope] ends. */
     fun start(): Job =
         scope.launchLoop("leader election", log) {
             try {
-                if (leaderLease.isLeader) lead() else follow()
+                if (leaderLease.isLeader) maintainLeadership() else pollLeaderRecord()
                 failures.reset()
             } catch (e: ServiceException) {
                 logFailure(e.message)
-                delay(RETRY)
+                delay(RETRY_DELAY)
             }
         }
 
@@ -70,33 +71,35 @@
         )
     }
 
-    // ---- while another leads, or nobody ----
+    // ---- as a follower ----
 
-    private suspend fun follow() {
+    private suspend fun pollLeaderRecord() {
         val records = recordWatcher.confirm()
         if (records == null) {
-            delay(RETRY)
+            delay(RETRY_DELAY)
             return
         }
         val leader = records.leader?.value
         when {
-            leader == null && mayOtherBeElected() -> delay(WATCH_INTERVAL)
-            leader == null -> acquire(records)
-            leader.member == member -> endLeaseOfFormerProcess(leader)
-            else -> delay(WATCH_INTERVAL)
+            leader == null && shouldDeferToPeers() -> delay(POLL_INTERVAL)
+            leader == null -> acquireLeaderRecord(records)
+            leader.member == member -> endLeaseOfPreviousProcess(leader)
+            else -> delay(POLL_INTERVAL)
         }
     }
 
-    private fun mayOtherBeElected(): Boolean {
-        if (!leaderLease.isAbstaining(clock.now())) return false
+    /** Returns whether this controller backs off from elections and the key-value store serves another controller. */
+    private fun shouldDeferToPeers(): Boolean {
+        if (!leaderLease.isBackingOffFromElections(clock.now())) return false
         return peerHealth() == PeerHealth.SERVED
     }
 
     /**
-     * A process of this name runs once at a time, so the one that acquired this lease has ended, and its lease need not
-     * be waited out. Its late writes fail on the record's version.
+     * Ends the lease of a leader's record that names this member. Only one process of a member runs at a time, so the
+     * process that acquired the lease has ended and there is no need to wait until its lease expires. Writes of that
+     * process that arrive late fail on the version of the leader's record.
      */
-    private suspend fun endLeaseOfFormerProcess(leader: LeaderRecord) {
+    private suspend fun endLeaseOfPreviousProcess(leader: LeaderRecord) {
         log.info("ending the lease of this member's former process: term={}", leader.term.value)
         store.endLease(leader.lease)
         recordWatcher.confirm()
@@ -104,14 +107,14 @@
 
     // ---- becoming the leader ----
 
-    private suspend fun acquire(records: RecordView) {
-        // Taken before anything is awaited: the records go on changing, and the precondition is on what the term
-        // rests on.
-        val formerTerm = records.term
-        val term = formerTerm?.value?.next() ?: Term.FIRST
-        val sent = clock.now()
+    private suspend fun acquireLeaderRecord(records: RecordView) {
+        // The view is live and may change at each suspension point. The term and the version in the precondition must
+        // come from the same state, so both are read here, before the first suspension.
+        val previousTerm = records.term
+        val term = previousTerm?.value?.next() ?: Term.FIRST
+        val sentAt = clock.now()
         val lease = store.openLease(timings.leaderLeaseDuration)
-        val result = writeLeaderRecord(term, formerTerm?.version ?: Version.NONE, lease)
+        val result = writeLeaderRecord(term, previousTerm?.version ?: Version.NONE, lease)
         if (result !is TransactionResult.Applied) {
             if (result is TransactionResult.Rejected) {
                 throw ServiceUnavailableException("the leader's record was rejected: ${result.why}")
@@ -121,17 +124,17 @@
             return
         }
         log.info("leader's record acquired: term={}", term.value)
-        leaderLease.acquired(HeldLeaderRecord(term, result.version, lease), sent)
+        leaderLease.acquired(HeldLeaderRecord(term, result.version, lease), sentAt)
         beginTerm(acquiredAt = clock.now())
     }
 
     private suspend fun writeLeaderRecord(
         term: Term,
-        formerTermVersion: Version,
+        previousTermVersion: Version,
         lease: StoreLease,
     ): TransactionResult =
         store.compareAndSwap(
-            listOf(Precondition(Keys.LEADER, Version.NONE), Precondition(Keys.TERM, formerTermVersion)),
+            listOf(Precondition(Keys.LEADER, Version.NONE), Precondition(Keys.TERM, previousTermVersion)),
             listOf(
                 Write.Put(Keys.LEADER, LeaderRecord(member, term, lease).toMap(), lease),
                 Write.Put(Keys.TERM, mapOf("term" to term.value)),
@@ -139,8 +142,10 @@
         )
 
     /**
-     * Reads the records before the term begins. Everything written before the leader's record was acquired is in a read
-     * begun afterwards; whatever a former leader writes later fails on its precondition.
+     * Reads the records, then notifies [listener] that this controller leads. The leader's lease is renewed meanwhile.
+     *
+     * A read that begins after the leader's record was acquired includes every earlier write. Later writes by a former
+     * leader fail on their precondition.
      */
     private suspend fun beginTerm(acquiredAt: Duration) {
         val renewals = scope.launch { renewRepeatedly() }
@@ -151,14 +156,17 @@
                     listener.elected(records, formerLeaseExpiry(acquiredAt))
                     return
                 }
-                delay(RETRY)
+                delay(RETRY_DELAY)
             }
         } finally {
             renewals.cancel()
         }
     }
 
-    /** A former leader can have renewed a worker's lease for the last time at the end of its grace. */
+    /**
+     * Returns the time by which every worker's lease that a former leader may have renewed has expired. A former leader
+     * may renew workers' leases until the end of its grace.
+     */
     private fun formerLeaseExpiry(acquiredAt: Duration): Duration {
         val graceAndLease = timings.stretched(timings.grace + timings.lease)
         return acquiredAt + graceAndLease + timings.margin * 2
@@ -173,20 +181,20 @@
 
     // ---- as the leader ----
 
-    private suspend fun lead() {
+    private suspend fun maintainLeadership() {
         if (!leaderLease.isLost) renewOnce()
-        // Nobody waits for the end of this leader's grace.
-        if (leaderLease.storeServesOthersOnly(clock.now(), peerHealth())) {
-            leaderLease.markLost("the key-value store serves others only")
+        // Another controller can take over, so this leader steps down without waiting for the end of its grace.
+        if (leaderLease.isCutOffFromStore(clock.now(), peerHealth())) {
+            leaderLease.markLost("the key-value store serves only other controllers")
         }
         if (leaderLease.isLost) stepDown() else delay(renewalInterval)
     }
 
     private suspend fun renewOnce() {
         val lease = leaderLease.held?.lease ?: return
-        val sent = clock.now()
+        val sentAt = clock.now()
         try {
-            if (store.renew(lease)) leaderLease.renewed(sent) else leaderLease.markLost("its lease has expired")
+            if (store.renew(lease)) leaderLease.renewed(sentAt) else leaderLease.markLost("the leader's lease expired")
         } catch (e: ServiceException) {
             log.debug("leader's lease not renewed: reason={}", e.message)
         }
@@ -196,18 +204,18 @@
         val lease = leaderLease.held?.lease
         leaderLease.steppedDown()
         listener.steppedDown()
-        // The next leader need not wait for the lease to expire; it may have expired already.
+        // Ends the lease so that the next leader need not wait for its expiry. It may have expired already.
         if (lease != null) store.endLease(lease)
     }
 
     private companion object {
-        /** After a request to the key-value store failed; short, since nobody may lead meanwhile. */
-        val RETRY = 200.milliseconds
+        /** The delay after a failed request to the key-value store; short, since there may be no leader meanwhile. */
+        val RETRY_DELAY = 200.milliseconds
 
-        /** How soon after a leader's record disappears a follower tries to acquire it. */
-        val WATCH_INTERVAL = 250.milliseconds
+        /** How often a follower checks for a leader's record, and so how soon it tries to replace a missing one. */
+        val POLL_INTERVAL = 250.milliseconds
 
-        /** Several renewals may fail before the lease expires. */
+        /** Several renewals in a row may fail before the lease expires. */
         const val RENEWALS_PER_LEASE = 5
     }
 }
--- a/src/main/kotlin/umberslip/leadership/LeaderLease.kt
+++ b/src/main/kotlin/umberslip/leadership/LeaderLease.kt
@@ -9,132 +9,149 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** The leader's record as this controller holds it: under which term, in which version, and under which lease. */
+/** The leader's record that this controller acquired: its term, its newest version and the lease it is attached to. */
 class HeldLeaderRecord(
     val term: Term,
     val version: Version,
     val lease: StoreLease,
 )
 
-/** What this controller may do as the leader, and until when. Pure: time is an input. Used on the actors' thread. */
+/**
+ * Tracks the leadership of this controller and decides what it may do as the leader at a given time. Pure: time is an
+ * input. Used on the actors' thread.
+ */
 class LeaderLease(
     private val timings: Timings,
 ) {
-    /** Null while this controller is not the leader. */
+    /** The leader's record of this controller; null while it is not the leader. */
     var held: HeldLeaderRecord? = null
         private set
 
-    /** When the newest renewal that succeeded was sent. */
+    /** The time at which the newest successful renewal of the leader's lease was sent. */
     var renewedAt: Duration = Duration.ZERO
         private set
 
-    /** When the newest read of the records that succeeded began. */
+    /** The time at which the newest successful read of the records began. */
     var readAt: Duration = Duration.ZERO
         private set
 
-    /** Until when another controller should lead, if one is served by the key-value store. */
-    private var abstainsUntil: Duration = Duration.ZERO
-    private var othersServedSince: Duration? = null
+    /** The end of the period in which another controller should be elected, if the key-value store serves one. */
+    private var electionBackOffUntil: Duration = Duration.ZERO
 
-    /** The term of this controller; null while it is not the leader. */
+    /** The time since which the conditions of [isCutOffFromStore] have held; null if they do not hold. */
+    private var cutOffSince: Duration? = null
+
+    /** The term under which this controller leads; null while it is not the leader. */
     val term: Term? get() = held?.term
 
-    /** The version of the leader's record, by which the leader's writes are guarded; null while not the leader. */
+    /**
+     * The version of the leader's record, which is a precondition of the leader's writes; null while this controller is
+     * not the leader.
+     */
     val version: Version? get() = held?.version
 
-    /** Whether this controller acquired the leader's record and has not stepped down, even if leadership [isLost]. */
+    /** Whether this controller acquired the leader's record and has not stepped down yet, even if [isLost]. */
     val isLeader: Boolean get() = held != null
 
-    /** Whether leadership was lost, so that the leader has to step down and may do nothing more until then. */
+    /** Whether leadership was lost. The leader then has to step down and may do nothing else. */
     var isLost = false
         private set
 
-    /** The leader's record was acquired by a request that was sent at [sent]. */
+    /** Notes that the leader's record was acquired by a request sent at [sentAt]. */
     fun acquired(
         record: HeldLeaderRecord,
-        sent: Duration,
+        sentAt: Duration,
     ) {
         held = record
-        renewedAt = sent
-        readAt = sent
+        renewedAt = sentAt
+        readAt = sentAt
         isLost = false
     }
 
-    /** The same record was written anew under the same term, so that it has a new version. */
+    /** Notes that this leader rewrote its record under the same term, which gave the record a new [version]. */
     fun fenced(version: Version) {
         held = held?.let { HeldLeaderRecord(it.term, version, it.lease) }
     }
 
-    /** This controller is not the leader any more. */
+    /** Notes that this controller is no longer the leader. */
     fun steppedDown() {
         held = null
         isLost = false
     }
 
     /**
-     * The lease was renewed. It counts from when the renewal was sent: the key-value store cannot have had it earlier.
+     * Notes that the leader's lease was renewed. The lease is counted from [sentAt], since the key-value store cannot
+     * have renewed it earlier.
      */
-    fun renewed(sent: Duration) {
-        renewedAt = maxOf(renewedAt, sent)
+    fun renewed(sentAt: Duration) {
+        renewedAt = maxOf(renewedAt, sentAt)
     }
 
-    /** A read of the records that began then succeeded, so all cancellations acknowledged before are known. */
-    fun recordsRead(began: Duration) {
-        readAt = maxOf(readAt, began)
+    /** Notes a successful read of the records, which shows all cancellations acknowledged before [beganAt]. */
+    fun recordsRead(beganAt: Duration) {
+        readAt = maxOf(readAt, beganAt)
     }
 
-    /** Leadership is lost for the reason [why]. Nothing is allowed from now on. */
-    fun markLost(why: String) {
-        if (isLeader && !isLost) LOG.warn("leadership lost: term={} reason={}", term?.value, why)
+    /** Marks leadership as lost for the given [reason]. Nothing is permitted to this leader any more. */
+    fun markLost(reason: String) {
+        if (isLeader && !isLost) LOG.warn("leadership lost: term={} reason={}", term?.value, reason)
         isLost = true
     }
 
-    /** A worker has seen a higher term, so another controller leads. */
+    /** Marks leadership as lost because a worker has seen a higher term, so another controller leads. */
     fun superseded() = markLost("a worker has seen a higher term")
 
-    /** Hardly any worker reaches this controller; they may still reach another, which should lead for a while. */
+    /**
+     * Marks leadership as lost because hardly any worker reaches this controller. Workers may still reach another
+     * controller, so this one backs off from elections for a while.
+     */
     fun lostContactWithWorkers(now: Duration) {
         markLost("no worker reaches this controller")
-        abstainsUntil = now + ABSTENTION
+        electionBackOffUntil = now + ELECTION_BACK_OFF
     }
 
-    /** Whether this controller should leave leadership to others. */
-    fun isAbstaining(now: Duration): Boolean = now < abstainsUntil
+    /** Returns whether this controller should leave leadership to other controllers. */
+    fun isBackingOffFromElections(now: Duration): Boolean = now < electionBackOffUntil
 
     /**
-     * Whether the key-value store serves others while this controller's own lease has expired: one of them takes over.
-     * That others are served is known late, so at the beginning of an outage for all it looks the same; it must last,
-     * or the leader would leave all workers without a response just when nobody can take its place.
+     * Returns whether the key-value store has served another controller for at least [MIN_CUT_OFF] while this leader's
+     * own lease was too old for it to start tasks. The other controller can then take over.
+     *
+     * Peers report with a delay that the store no longer serves them, so the beginning of an outage for all controllers
+     * looks the same. Without the minimum duration, the leader would step down in such an outage and leave all workers
+     * without a response, although no other controller can be elected.
      */
-    fun storeServesOthersOnly(
+    fun isCutOffFromStore(
         now: Duration,
         peerHealth: PeerHealth,
     ): Boolean {
-        val isCutOff = isLeader && !mayStart(now) && peerHealth == PeerHealth.SERVED
-        val since = if (isCutOff) othersServedSince ?: now else null
-        othersServedSince = since
+        val appearsCutOff = isLeader && !mayStart(now) && peerHealth == PeerHealth.SERVED
+        val since = if (appearsCutOff) cutOffSince ?: now else null
+        cutOffSince = since
         return since != null && now - since >= MIN_CUT_OFF
     }
 
     /**
-     * Whether tasks may be started and records written. This needs a read as recent as the renewal: renewals may
-     * succeed where reads do not, and then a cancellation that another controller acknowledged would not be known here.
+     * Returns whether the leader may start tasks and write records. The same age limit applies to the newest renewal of
+     * the lease and to the newest read of the records: if renewals succeed while reads fail, this controller does not
+     * learn of a cancellation that another controller acknowledged.
      */
     fun mayStart(now: Duration): Boolean = permissionToStart(now) == Permission.GRANTED
 
-    /** As [mayStart], with what is in the way. */
+    /** Returns whether [mayStart] holds and, if not, the reason. */
     fun permissionToStart(now: Duration): Permission {
         val validFor = timings.leaderLeaseDuration - timings.margin
         return permission(now, validFor)
     }
 
     /**
-     * Whether heartbeats may be answered, without starts once [mayStart] is false: running work outlives a short
-     * outage. The bound counts from the older of renewal and read, since only a read shows a cancellation.
+     * Returns whether the leader may answer heartbeats. The responses contain no starts unless [mayStart] is true.
+     * Running work thus survives a short outage of the key-value store. The time limit counts from the newest renewal
+     * or the newest read, whichever is older, since only a read shows a cancellation.
      */
     fun mayAnswer(now: Duration): Boolean = permissionToAnswer(now) == Permission.GRANTED
 
-    /** As [mayAnswer], with what is in the way. */
+    /** Returns whether [mayAnswer] holds and, if not, the reason. */
     fun permissionToAnswer(now: Duration): Permission {
         val validFor = timings.leaderLeaseDuration + timings.grace
         return permission(now, validFor)
@@ -153,10 +170,10 @@
         }
 
     private companion object {
-        /** Long enough for another controller to acquire the leader's record and to be found by the workers. */
-        val ABSTENTION = 30.seconds
+        /** Long enough for another controller to acquire the leader's record and for the workers to find it. */
+        val ELECTION_BACK_OFF = 30.seconds
 
-        /** Longer than peers take to learn that the key-value store does not serve one of them any more. */
+        /** Longer than peers take to learn that the key-value store no longer serves one of them. */
         val MIN_CUT_OFF = 2.seconds
         val LOG = LoggerFactory.getLogger("umberslip.leadership")
     }
--- a/src/main/kotlin/umberslip/leadership/LeadershipListener.kt
+++ b/src/main/kotlin/umberslip/leadership/LeadershipListener.kt
@@ -3,19 +3,21 @@
 import umberslip.records.RecordView
 import kotlin.time.Duration
 
-/** Notified when this controller begins and ceases to lead. Called on the actors' thread. */
+/** Is notified on the actors' thread when this controller becomes the leader and when it steps down. */
 interface LeadershipListener {
     /**
-     * This controller leads.
+     * Called when this controller has become the leader.
      *
-     * @param records as read after the leader's record was acquired, so with all that former leaders wrote
-     * @param formerLeaseExpiry by when every worker's lease that a former leader can have renewed has expired
+     * @param records the records as read after the leader's record was acquired, which includes all that former leaders
+     *   wrote
+     * @param formerLeaseExpiry the time by which every worker's lease that a former leader may have renewed has
+     *   expired
      */
     fun elected(
         records: RecordView,
         formerLeaseExpiry: Duration,
     )
 
-    /** This controller does not lead any more. */
+    /** Called when this controller no longer leads. */
     fun steppedDown()
 }
--- a/src/main/kotlin/umberslip/leadership/LeadershipMetrics.kt
+++ b/src/main/kotlin/umberslip/leadership/LeadershipMetrics.kt
@@ -6,13 +6,16 @@
 import kotlin.time.Duration
 import kotlin.time.DurationUnit
 
-/** Publishes which term a controller leads under, if any, and what its permission to start tasks rests on. */
+/**
+ * Publishes the term of a leading controller, whether it may start tasks, and the ages of the lease renewal and of the
+ * read on which that permission depends.
+ */
 class LeadershipMetrics(
     private val leaderLease: LeaderLease,
     private val clock: Clock,
     private val metrics: MeterRegistry,
 ) {
-    /** Registers the gauges, once. */
+    /** Registers the gauges. To be called once. */
     fun register() {
         metrics.publishGauge(TERM) { leaderLease.term?.value?.toDouble() ?: 0.0 }
         metrics.publishGauge(MAY_START) { if (leaderLease.mayStart(clock.now())) 1.0 else 0.0 }
@@ -23,16 +26,16 @@
     private fun ageSeconds(time: Duration): Double = (clock.now() - time).toDouble(DurationUnit.SECONDS)
 
     companion object {
-        /** The term that this controller leads under; 0 while it does not. */
+        /** The term under which this controller leads; 0 while it does not lead. */
         const val TERM = "umberslip.leader.term"
 
         /** 1 while the leader may start tasks, else 0. */
         const val MAY_START = "umberslip.leader.may.start"
 
-        /** Since the newest renewal of the leader's lease was sent. */
+        /** The time since the newest successful renewal of the leader's lease was sent. */
         const val RENEWAL_AGE = "umberslip.leader.renewal.age.seconds"
 
-        /** Since the newest confirmed read of the records began. */
+        /** The time since the newest confirmed read of the records began. */
         const val READ_AGE = "umberslip.records.read.age.seconds"
     }
 }
--- a/src/main/kotlin/umberslip/monitoring/FailureSeries.kt
+++ b/src/main/kotlin/umberslip/monitoring/FailureSeries.kt
@@ -4,29 +4,29 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Failures of one kind with no success between them. Says which of them are worth a line of the log: the first, and
- * then one each half minute, so that a series that lasts does not fall silent. Pure.
+ * A series of failures of one kind without a success between them. It decides which failures are logged: the first, and
+ * then one every half minute, so that a long series remains visible in the log. Pure: time is an input.
  */
 class FailureSeries {
-    /** How many failures there have been since the last success. */
+    /** The number of failures since the last success. */
     var count = 0
         private set
-    private var began = Duration.ZERO
-    private var loggedAt = Duration.ZERO
+    private var startedAt = Duration.ZERO
+    private var lastLoggedAt = Duration.ZERO
 
-    /** Counts a failure; true if it is to be logged. */
+    /** Counts a failure and returns whether it should be logged. */
     fun countFailure(now: Duration): Boolean {
         count++
-        if (count == 1) began = now
-        if (count > 1 && now - loggedAt < REPEAT_INTERVAL) return false
-        loggedAt = now
+        if (count == 1) startedAt = now
+        if (count > 1 && now - lastLoggedAt < REPEAT_INTERVAL) return false
+        lastLoggedAt = now
         return true
     }
 
-    /** How long ago the series began. */
-    fun duration(now: Duration): Duration = if (count == 0) Duration.ZERO else now - began
+    /** Returns the time since the first failure of the series, or zero if there is no failure. */
+    fun duration(now: Duration): Duration = if (count == 0) Duration.ZERO else now - startedAt
 
-    /** Ends the series; the number of its failures. */
+    /** Ends the series after a success and returns the number of its failures. */
     fun reset(): Int = count.also { count = 0 }
 
     private companion object {
--- a/src/test/kotlin/umberslip/actor/ActorTest.kt
+++ b/src/test/kotlin/umberslip/actor/ActorTest.kt
@@ -20,10 +20,10 @@
     }
 
     @Test
-    fun `messages from outside are refused when the mailbox is full, and those of own parts never`() =
+    fun `a full mailbox refuses messages from outside the controller but not its own messages`() =
         runTest {
-            // Found by reading: with heartbeats of all workers at once after a stall, the outcome of a write or the
-            // event of a cancellation did not fit into the mailbox and was lost.
+            // Found by reading the code: after a stall, the heartbeats of all workers filled the mailbox, and the
+            // outcome of a write or the event of a cancellation was lost.
             val actor = Collector(this)
             assertTrue(listOf(1, 2, 3).all(actor::trySend))
             assertFalse(actor.trySend(4))
@@ -32,7 +32,7 @@
             actor.start()
             testScheduler.runCurrent()
             assertEquals(listOf(1, 2, 3, 5), actor.received)
-            assertTrue(actor.trySend(7), "the mailbox was emptied")
+            assertTrue(actor.trySend(7), "the mailbox has been emptied")
             testScheduler.runCurrent()
             assertEquals(listOf(1, 2, 3, 5, 7), actor.received)
             coroutineContext.cancelChildren()
--- a/src/test/kotlin/umberslip/actor/LoopsTest.kt
+++ b/src/test/kotlin/umberslip/actor/LoopsTest.kt
@@ -14,7 +14,7 @@
 import org.slf4j.LoggerFactory
 import kotlin.time.Duration.Companion.seconds
 
-/** A loop outlives the failures of its rounds, and ends with its scope. */
+/** A loop continues after a failed iteration and ends with its scope. */
 @OptIn(ExperimentalCoroutinesApi::class)
 class LoopsTest {
     private val scheduler = TestCoroutineScheduler()
@@ -22,24 +22,24 @@
     private val log = LoggerFactory.getLogger("umberslip.actor")
 
     @Test
-    fun `a failed round is followed by the next`() {
-        var rounds = 0
+    fun `a failed iteration is followed by the next one`() {
+        var iterations = 0
         val loop =
             scope.launchLoop("test", log) {
-                rounds++
+                iterations++
                 delay(1.seconds)
-                when (rounds) {
+                when (iterations) {
                     2 -> error("an unexpected failure")
-                    4 -> throw CancellationException("of something that the round waited for")
+                    4 -> throw CancellationException("cancellation of something that the iteration waited for")
                 }
             }
         scheduler.advanceTimeBy(10.seconds)
         scheduler.runCurrent()
-        assertEquals(9, rounds, "ten seconds, of which the failures cost two, and the round that begins now")
+        assertEquals(9, iterations, "eight in ten seconds with two failure delays, and one that has just begun")
         scope.cancel()
         scheduler.runCurrent()
         assertTrue(loop.isCompleted)
         scheduler.advanceTimeBy(10.seconds)
-        assertEquals(9, rounds)
+        assertEquals(9, iterations)
     }
 }
--- a/src/test/kotlin/umberslip/leadership/LeaderLeaseTest.kt
+++ b/src/test/kotlin/umberslip/leadership/LeaderLeaseTest.kt
@@ -26,7 +26,7 @@
     private val firstRecord = HeldLeaderRecord(Term.FIRST, Version(1), StoreLease(1))
 
     @Test
-    fun `a leader may do nothing past the older of renewal and read, whatever their order`() =
+    fun `permissions expire relative to the older of the last renewal and the last read`() =
         runBlocking<Unit> {
             checkAll(
                 PropTestConfig(seed = 8, iterations = 300),
@@ -44,15 +44,15 @@
                     leaderLease.mayStart(at),
                 )
                 if (leaderLease.mayAnswer(at)) {
-                    // A cancellation acknowledged just after the last read takes effect in time: the lease that this
-                    // response renews expires within the time that a cancellation has.
+                    // The worker's lease that this response renews expires before the deadline of a cancellation that
+                    // was acknowledged just after the last read.
                     assertTrue(at + timings.lease + timings.margin < minOf(read, renewed).milliseconds + workers.cancel)
                 }
             }
         }
 
     @Test
-    fun `nothing is allowed once leadership is lost`() {
+    fun `nothing is permitted once leadership is lost`() {
         val leaderLease = LeaderLease(timings)
         assertFalse(leaderLease.mayAnswer(0.seconds))
         leaderLease.acquired(firstRecord, 0.seconds)
@@ -62,21 +62,22 @@
     }
 
     @Test
-    fun `an outage for all controllers is not mistaken for one of the leader alone`() {
-        // Found on a day of half as many machines again: at the beginning of an outage, the last time that the peers
-        // said they were served made the leader step down, and none of them could take over.
+    fun `a store outage for all controllers is not mistaken for an outage of the leader alone`() {
+        // Regression, found on a day with half as many machines again: at the beginning of a store outage for all
+        // controllers, the peers' last pongs still said that the store served them. The leader stepped down, although
+        // no peer could take over.
         val leaderLease = LeaderLease(timings)
         leaderLease.acquired(firstRecord, 0.seconds)
 
-        fun after(
+        fun isCutOffAfter(
             seconds: Double,
             peerHealth: PeerHealth,
-        ) = leaderLease.storeServesOthersOnly(seconds.seconds, peerHealth)
-        assertFalse(after(2.0, PeerHealth.SERVED), "while its own lease lasts")
-        assertFalse(after(3.1, PeerHealth.SERVED))
-        assertFalse(after(4.4, PeerHealth.UNSERVED))
-        assertFalse(after(5.0, PeerHealth.SERVED))
-        assertFalse(after(6.9, PeerHealth.SERVED))
-        assertTrue(after(7.1, PeerHealth.SERVED))
+        ) = leaderLease.isCutOffFromStore(seconds.seconds, peerHealth)
+        assertFalse(isCutOffAfter(2.0, PeerHealth.SERVED), "the leader's own lease is still valid")
+        assertFalse(isCutOffAfter(3.1, PeerHealth.SERVED))
+        assertFalse(isCutOffAfter(4.4, PeerHealth.UNSERVED))
+        assertFalse(isCutOffAfter(5.0, PeerHealth.SERVED))
+        assertFalse(isCutOffAfter(6.9, PeerHealth.SERVED))
+        assertTrue(isCutOffAfter(7.1, PeerHealth.SERVED))
     }
 }
--- a/src/test/kotlin/umberslip/monitoring/FailureSeriesTest.kt
+++ b/src/test/kotlin/umberslip/monitoring/FailureSeriesTest.kt
@@ -8,14 +8,14 @@
     private val series = FailureSeries()
 
     @Test
-    fun `a series that lasts is logged again every half minute`() {
+    fun `a continuing series is logged again every half minute`() {
         val logged = (0..100).filter { series.countFailure(it.seconds) }
         assertEquals(listOf(0, 30, 60, 90), logged)
         assertEquals(100.seconds, series.duration(100.seconds))
     }
 
     @Test
-    fun `a series that begins after a success is logged at once`() {
+    fun `the first failure after a success is logged at once`() {
         series.countFailure(1.seconds)
         series.countFailure(2.seconds)
         assertEquals(2, series.reset())
