--- a/src/main/kotlin/umberslip/peers/PeerChannels.kt
+++ b/src/main/kotlin/umberslip/peers/PeerChannels.kt
@@ -20,15 +20,15 @@
 import java.net.InetSocketAddress
 
 /**
- * Opens connections between controllers. Both ends read frames alike, and [onFrame] gets them with the channel to
- * answer on. All callbacks run on the threads of [group].
+ * Opens connections between controllers. Both ends of a connection decode frames in the same way and pass each one to
+ * [onFrame], with the channel on which to respond. All callbacks run on the threads of [group].
  */
 internal class PeerChannels(
     private val group: EventLoopGroup,
     private val log: Logger,
     private val onFrame: (PeerFrame, Channel) -> Unit,
 ) {
-    /** Accepts connections; fails if the address cannot be bound. */
+    /** Listens for connections at [address]. Throws an exception if the address cannot be bound. */
     fun bind(address: InetSocketAddress): Channel =
         ServerBootstrap()
             .group(group)
@@ -39,7 +39,10 @@
             .sync()
             .channel()
 
-    /** Calls [onOpened] once, with null if the peer cannot be reached, and [onClosed] whenever the channel ends. */
+    /**
+     * Connects to a peer. Calls [onOpened] once, with null if the peer cannot be reached, and [onClosed] when the
+     * channel is closed.
+     */
     fun connect(
         address: InetSocketAddress,
         onOpened: (Channel?) -> Unit,
@@ -54,7 +57,7 @@
             .addListener(ChannelFutureListener { onOpened(if (it.isSuccess) it.channel() else null) })
     }
 
-    /** Drops the frame if the connection is congested: what matters is sent again. */
+    /** Writes a frame, or drops it if the connection is congested. Anything important is sent again. */
     fun write(
         channel: Channel,
         frame: PeerFrame,
@@ -90,7 +93,7 @@
             }
         }
 
-        @Deprecated("as Netty's")
+        @Deprecated("overrides a method that Netty deprecates")
         override fun exceptionCaught(
             context: ChannelHandlerContext,
             cause: Throwable,
@@ -101,7 +104,10 @@
     }
 
     private companion object {
-        /** Controllers are close to one another; one that takes longer counts as unreachable anyway. */
+        /**
+         * Controllers have short network paths to one another. A controller that takes longer to connect counts as
+         * unreachable anyway.
+         */
         const val CONNECT_TIMEOUT_MILLIS = 1000
     }
 }
--- a/src/main/kotlin/umberslip/peers/PeerFrame.kt
+++ b/src/main/kotlin/umberslip/peers/PeerFrame.kt
@@ -4,33 +4,33 @@
 import okio.EOFException
 
 /**
- * A message between controllers; losing any of them does no harm. On the connection each is a length of four bytes, a
- * kind of one byte and the rest by kind. Released versions read and write the same bytes.
+ * A message between controllers. The loss of any message does no harm. On the wire, a message consists of a length of
+ * four bytes, a kind of one byte and a body that depends on the kind. Released versions read and write the same bytes.
  */
 sealed interface PeerFrame {
-    /** A job was accepted or cancelled: whoever leads should read the records now. */
+    /** Announces that a job was accepted or cancelled, so the leader should read the records now. */
     data class RecordsChanged(
         val from: String,
     ) : PeerFrame
 
-    /** Asks whether the receiver can be reached. */
+    /** Asks whether the receiver is reachable. */
     data class Ping(
         val from: String,
     ) : PeerFrame
 
-    /** The response to a ping; [served] tells whether the key-value store serves the sender. */
+    /** The response to a ping. [isServedByStore] tells whether the key-value store serves the sender of the pong. */
     data class Pong(
         val from: String,
-        val served: Boolean,
+        val isServedByStore: Boolean,
     ) : PeerFrame
 
-    /** The frame with its length. */
+    /** Returns the encoded frame, preceded by its length. */
     fun encode(): Buffer {
         val body = Buffer()
         when (this) {
             is RecordsChanged -> body.writeByte(RECORDS_CHANGED).writeUtf8(from)
             is Ping -> body.writeByte(PING).writeUtf8(from)
-            is Pong -> body.writeByte(PONG).writeByte(if (served) 1 else 0).writeUtf8(from)
+            is Pong -> body.writeByte(PONG).writeByte(if (isServedByStore) 1 else 0).writeUtf8(from)
         }
         return Buffer().writeInt(body.size.toInt()).apply { writeAll(body) }
     }
@@ -40,10 +40,10 @@
         private const val PING = 2
         private const val PONG = 3
 
-        /** Member names are short; a longer frame is not one of these. */
+        /** Member names are short, so a longer frame cannot be valid. */
         const val MAX_BYTES = 1024
 
-        /** Reads a frame without its length; null for one that is unreadable or of a kind not known yet. */
+        /** Decodes a frame without its length. Returns null if the frame is malformed or of an unknown kind. */
         fun decode(body: Buffer): PeerFrame? =
             try {
                 when (body.readByte().toInt()) {
--- a/src/main/kotlin/umberslip/peers/PeerHealth.kt
+++ b/src/main/kotlin/umberslip/peers/PeerHealth.kt
@@ -1,13 +1,13 @@
 package umberslip.peers
 
-/** What the other controllers that can be reached say of the key-value store. */
+/** Whether the key-value store serves the peers, according to the newest pongs of the reachable ones. */
 enum class PeerHealth {
-    /** It serves at least one of them. */
+    /** The key-value store serves at least one reachable peer. */
     SERVED,
 
-    /** It serves none of them. */
+    /** Peers are reachable, but the key-value store serves none of them. */
     UNSERVED,
 
-    /** None can be reached. */
+    /** No peer is reachable. */
     UNREACHABLE,
 }
--- a/src/main/kotlin/umberslip/peers/Peers.kt
+++ b/src/main/kotlin/umberslip/peers/Peers.kt
@@ -16,19 +16,19 @@
 
 /** The messages of the [Peers] actor. */
 sealed interface PeersMessage {
-    /** Tells all peers that the records have changed. */
+    /** A request to notify all peers that the records have changed. */
     data object Announce : PeersMessage
 
-    /** Time to ping all peers. */
+    /** A timer tick: all peers are due a ping. */
     data object Tick : PeersMessage
 
-    /** A frame arrived; [channel] leads back to its sender. */
+    /** A frame was received; its sender is reached through [channel]. */
     class Received(
         val frame: PeerFrame,
         val channel: Channel,
     ) : PeersMessage
 
-    /** An attempt to connect has ended; [channel] is null if it failed. */
+    /** An attempt to connect to a peer has ended. [channel] is null if it failed. */
     class Opened(
         val peer: Peer,
         val channel: Channel?,
@@ -36,41 +36,46 @@
 }
 
 /**
- * The connections to the other controllers ([known]). They carry hints only, so that a leader learns of new work at
- * once, and workers are not sent to a controller that cannot be reached. Nothing safety rests on depends on them.
+ * Maintains the connections to the other controllers ([peers]). Their frames are only hints: they let the leader learn
+ * of new work at once, and they let a controller avoid sending workers to an unreachable one. Safety does not depend on
+ * them.
  *
- * All state is used on the one thread of [group], which [scope] runs on, too. [isServed] tells whether the key-value
- * store serves this controller; [onRecordsChanged] is called when a peer announced a change.
+ * All state is confined to the single thread of [group], on which [scope] also runs. [isServedByStore] tells whether
+ * the key-value store serves this controller. [onRecordsChanged] is called when a peer announces a change of the
+ * records.
  */
 class Peers(
     private val scope: CoroutineScope,
     group: EventLoopGroup,
     private val member: String,
-    private val known: List<Peer>,
+    private val peers: List<Peer>,
     private val clock: Clock,
     private val onRecordsChanged: () -> Unit,
-    private val isServed: () -> Boolean,
+    private val isServedByStore: () -> Boolean,
 ) : Actor<PeersMessage>("peers", scope, MAILBOX_CAPACITY) {
     private val connections =
         PeerChannels(group, log) { frame, channel -> trySend(PeersMessage.Received(frame, channel)) }
     private val channels = HashMap<String, Channel>()
-    private val connecting = HashSet<String>()
-    private val contacts = HashMap<String, Contact>()
+    private val connectingMembers = HashSet<String>()
+    private val lastPongs = HashMap<String, LastPong>()
 
-    /** The last pong of a member: when it arrived, and whether the key-value store serves the member. */
-    private class Contact(
-        val at: Duration,
-        val isServed: Boolean,
+    /** The arrival time of a member's last pong, and whether the key-value store served the member then. */
+    private class LastPong(
+        val time: Duration,
+        val isServedByStore: Boolean,
     )
 
-    /** Whether a controller has responded lately; that it has not does not prove that it is dead. */
-    fun isReachable(member: String): Boolean = contacts[member]?.let { clock.now() - it.at < UNREACHABLE_AFTER } ?: false
+    /**
+     * Returns whether a controller has recently responded to a ping. A controller that has not responded may still be
+     * running.
+     */
+    fun isReachable(member: String): Boolean = lastPongs[member]?.let { clock.now() - it.time < PONG_TIMEOUT } ?: false
 
-    /** As the peers said lately, by their pongs. */
+    /** Returns the health of the peers according to their recent pongs. */
     fun peerHealth(): PeerHealth {
-        val reachable = known.filter { isReachable(it.member) }
+        val reachable = peers.filter { isReachable(it.member) }
         return when {
-            reachable.any { contacts[it.member]?.isServed == true } -> PeerHealth.SERVED
+            reachable.any { lastPongs[it.member]?.isServedByStore == true } -> PeerHealth.SERVED
             reachable.isEmpty() -> PeerHealth.UNREACHABLE
             else -> PeerHealth.UNSERVED
         }
@@ -86,13 +91,13 @@
         return super.start()
     }
 
-    /** Accepts connections of peers; fails if the address cannot be bound. */
+    /** Listens for connections of peers at [address]. Throws an exception if the address cannot be bound. */
     fun bind(address: InetSocketAddress): Channel = connections.bind(address)
 
     override suspend fun receive(message: PeersMessage) {
         when (message) {
-            PeersMessage.Announce -> known.forEach { send(it, PeerFrame.RecordsChanged(member)) }
-            PeersMessage.Tick -> known.forEach { send(it, PeerFrame.Ping(member)) }
+            PeersMessage.Announce -> peers.forEach { send(it, PeerFrame.RecordsChanged(member)) }
+            PeersMessage.Tick -> peers.forEach { send(it, PeerFrame.Ping(member)) }
             is PeersMessage.Received -> receive(message.frame, message.channel)
             is PeersMessage.Opened -> opened(message.peer, message.channel)
         }
@@ -104,8 +109,8 @@
     ) {
         when (frame) {
             is PeerFrame.RecordsChanged -> onRecordsChanged()
-            is PeerFrame.Ping -> connections.write(channel, PeerFrame.Pong(member, isServed()))
-            is PeerFrame.Pong -> contacts[frame.from] = Contact(clock.now(), frame.served)
+            is PeerFrame.Ping -> connections.write(channel, PeerFrame.Pong(member, isServedByStore()))
+            is PeerFrame.Pong -> lastPongs[frame.from] = LastPong(clock.now(), frame.isServedByStore)
         }
     }
 
@@ -113,10 +118,10 @@
         peer: Peer,
         channel: Channel?,
     ) {
-        connecting -= peer.member
+        connectingMembers -= peer.member
         if (channel == null) return
         channels[peer.member] = channel
-        // A change may have been announced while there was no connection.
+        // Announcements made while there was no connection were not delivered, so one is sent now.
         connections.write(channel, PeerFrame.RecordsChanged(member))
         connections.write(channel, PeerFrame.Ping(member))
     }
@@ -132,36 +137,36 @@
             return
         }
         channels.remove(peer.member)?.close()
-        if (isUnresponsive) contacts.remove(peer.member)
+        if (isUnresponsive) lastPongs.remove(peer.member)
         connect(peer)
     }
 
-    /** Whether nothing has come back for so long that a new connection is to replace the present one. */
+    /** Returns whether the last pong of a member is so old that the connection to it should be replaced. */
     private fun isUnresponsive(member: String): Boolean {
-        val contact = contacts[member] ?: return false
-        return clock.now() - contact.at > RECONNECT_AFTER
+        val lastPong = lastPongs[member] ?: return false
+        return clock.now() - lastPong.time > RECONNECT_AFTER
     }
 
     private fun connect(peer: Peer) {
-        if (!connecting.add(peer.member)) return
+        if (!connectingMembers.add(peer.member)) return
         connections.connect(
             peer.address,
             onOpened = { enqueue(PeersMessage.Opened(peer, it)) },
-            // A process that ended closes its connections: it is not reached from then on.
-            onClosed = { contacts.remove(peer.member) },
+            // The connections of a process that ends are closed, so the peer counts as unreachable at once.
+            onClosed = { lastPongs.remove(peer.member) },
         )
     }
 
     private companion object {
-        /** A few controllers, a few frames a second each. */
+        /** There are only a few controllers, and each sends only a few frames per second. */
         const val MAILBOX_CAPACITY = 256
 
         val PING_INTERVAL = 500.milliseconds
 
-        /** Three pings without a pong. */
-        val UNREACHABLE_AFTER = 1500.milliseconds
+        /** A peer counts as unreachable once three pings have had no pong. */
+        val PONG_TIMEOUT = 1500.milliseconds
 
-        /** Longer than a short interruption, after which the same connection goes on. */
+        /** Longer than a short network interruption, which a connection survives. */
         val RECONNECT_AFTER = 4.seconds
     }
 }
--- a/src/test/kotlin/umberslip/peers/PeerFrameTest.kt
+++ b/src/test/kotlin/umberslip/peers/PeerFrameTest.kt
@@ -15,12 +15,12 @@
 import org.junit.jupiter.api.Test
 
 class PeerFrameTest {
-    private val fixed = PropTestConfig(seed = 5, iterations = 200)
+    private val propertyConfig = PropTestConfig(seed = 5, iterations = 200)
 
     @Test
-    fun `frames are decoded as they were encoded`() =
+    fun `decoding an encoded frame returns the same frame`() =
         runBlocking<Unit> {
-            checkAll(fixed, Arb.string(0, 40)) { member ->
+            checkAll(propertyConfig, Arb.string(0, 40)) { member ->
                 val pongs = listOf(PeerFrame.Pong(member, true), PeerFrame.Pong(member, false))
                 for (frame in listOf(PeerFrame.RecordsChanged(member), PeerFrame.Ping(member)) + pongs) {
                     val bytes = frame.encode()
@@ -31,10 +31,10 @@
         }
 
     @Test
-    fun `unreadable bytes give no frame and no failure`() =
+    fun `decoding malformed bytes returns null without an exception`() =
         runBlocking<Unit> {
             assertNull(PeerFrame.decode(Buffer()))
-            checkAll(fixed, Arb.byteArray(Arb.int(0..40), Arb.byte())) { bytes ->
+            checkAll(propertyConfig, Arb.byteArray(Arb.int(0..40), Arb.byte())) { bytes ->
                 val frame = PeerFrame.decode(Buffer().write(bytes))
                 assertTrue(frame == null || bytes[0].toInt() in 1..3)
             }
