--- a/src/main/kotlin/umberslip/agents/FollowerLeaseRenewal.kt
+++ b/src/main/kotlin/umberslip/agents/FollowerLeaseRenewal.kt
@@ -5,17 +5,19 @@
 import umberslip.records.RecordView
 
 /**
- * Renews the leases of workers that cannot reach the leader, on the leader's behalf. Any controller may answer a
- * heartbeat with the leader's term and without starts, if a read of the records that began after the heartbeat arrived
- * still names that leader and revokes no renewal for the machine. Tasks of cancelled jobs are stopped, so that a
- * cancellation takes effect here too. Pure; not safe for use by several threads.
+ * Renews the leases of workers that cannot reach the leader, on the leader's behalf.
  *
- * [connections] is how many workers may be connected at once.
+ * Any controller may answer a heartbeat with the leader's term and without starts, on one condition: a read of the
+ * records that began after the heartbeat arrived still names that leader and does not revoke the renewal for the
+ * machine. The answer stops tasks of cancelled jobs, so a cancellation also takes effect while the leader cannot be
+ * reached. Pure; not thread-safe.
+ *
+ * @param maxConnections the maximum number of workers that are connected at once
  */
 class FollowerLeaseRenewal(
-    connections: Int,
+    maxConnections: Int,
 ) {
-    private val maxMachines = connections * MACHINES_PER_CONNECTION
+    private val maxMachines = maxConnections * MACHINES_PER_CONNECTION
     private val newestVersions =
         object : LinkedHashMap<MachineName, HeartbeatVersion>() {
             override fun removeEldestEntry(eldest: Map.Entry<MachineName, HeartbeatVersion>) = size > maxMachines
@@ -23,8 +25,8 @@
     private val renewed = LinkedHashSet<MachineName>()
 
     /**
-     * Takes account of a heartbeat; false for a late copy. Only a worker that receives responses stays here and sends
-     * the next one, so it takes two heartbeats in a row to show that the machine's lease was renewed.
+     * Accepts a heartbeat, or returns false if it is a late copy. A worker sends its next heartbeat to this controller
+     * only if it receives a response. Two consecutive heartbeats therefore show that the machine's lease was renewed.
      */
     fun acceptIfNew(heartbeat: Heartbeat): Boolean {
         val name = heartbeat.machineName
@@ -36,20 +38,23 @@
     }
 
     /**
-     * Takes the machines whose leases were renewed since they were last taken: as many as one stored value of
-     * [valueBytes] holds. The rest is had with the next call.
+     * Returns the machines whose leases were renewed and that no earlier call returned, as many as fit into a stored
+     * value of [valueBytes]. Later calls return the rest.
      */
     fun takeRenewed(valueBytes: Int): Set<MachineName> {
-        val fitting = MachineSetRecord.fitting(renewed, valueBytes)
-        renewed -= fitting
-        return fitting
+        val taken = MachineSetRecord.fitting(renewed, valueBytes)
+        renewed -= taken
+        return taken
     }
 
     companion object {
-        /** Machines whose newest heartbeat is remembered for each connection; then the first is forgotten. */
+        /**
+         * The number of machines per connection whose newest heartbeat version is remembered. Beyond that, the version
+         * that was added first is removed.
+         */
         private const val MACHINES_PER_CONNECTION = 8
 
-        /** The response to a heartbeat by these records; null where the lease must not be renewed. */
+        /** Returns the response to a heartbeat according to [records], or null if the lease must not be renewed. */
         fun answer(
             heartbeat: Heartbeat,
             records: RecordView,
--- a/src/main/kotlin/umberslip/agents/Heartbeat.kt
+++ b/src/main/kotlin/umberslip/agents/Heartbeat.kt
@@ -4,49 +4,52 @@
 import umberslip.core.TaskId
 import umberslip.core.Term
 
-/** How far a task on a machine has come. */
+/** The state of a task on a machine. */
 enum class TaskState {
-    /** It waits for its image. */
+    /** The task waits for its image. */
     FETCHING,
 
-    /** It waits for the other tasks of its gang. */
+    /** The task waits for the other tasks of its gang. */
     WAITING_FOR_GANG,
     RUNNING,
 
-    /** It was stopped and saves a checkpoint. */
+    /** The task was stopped and is saving a checkpoint. */
     CHECKPOINTING,
 
-    /** It has ended; the worker reports it until it is cleared. */
+    /** The task has ended. The worker reports it until it receives a [WorkerCommand.Clear]. */
     EXITED,
 }
 
-/** Why a task has ended, or did not start. */
+/** The reason why a task ended or was not started. */
 enum class ExitCause {
     DONE,
 
-    /** By command. */
+    /** The task was stopped by a command. */
     STOPPED,
 
-    /** Another task of its gang was lost. */
+    /** Another task of the gang was lost. */
     GANG_MEMBER_LOST,
 
-    /** Its gang was not complete in time. */
+    /** The gang was not complete in time. */
     GANG_INCOMPLETE,
 
-    /** It failed; mostly the machine is faulty. */
+    /** The task failed. In most cases the machine is faulty. */
     ERROR,
 
-    /** Not started: the machine has not enough free resources. */
+    /** The task was not started because the machine does not have enough free resources. */
     MACHINE_FULL,
 
-    /** Not started: the task is on this machine under another attempt. */
+    /** The task was not started because it is already on this machine under another attempt. */
     ALREADY_PRESENT,
 
-    /** Not started: the worker found no such job or task. */
+    /** The task was not started because the worker found no such job or task. */
     UNKNOWN,
 }
 
-/** A task as its worker reports it; [cause] is given if it has exited. [saved] if its last checkpoint was saved. */
+/**
+ * A task as reported by its worker. [cause] is set if the task has exited. [saved] tells whether its last checkpoint
+ * was saved.
+ */
 data class ReportedTask(
     val task: TaskId,
     val attempt: Long,
@@ -56,8 +59,9 @@
 )
 
 /**
- * Orders the heartbeats of one machine: the larger is the newer. [epoch] rises each time
- * the worker's lease expires and it begins anew without tasks; [sequenceNumber] counts within it.
+ * The version of a heartbeat; of two heartbeats of one machine, the one with the larger version is newer. [epoch]
+ * increases each time the worker's lease expires and the worker starts over without tasks. [sequenceNumber] counts the
+ * heartbeats of an epoch.
  */
 data class HeartbeatVersion(
     val epoch: Long,
@@ -68,7 +72,7 @@
         return sequenceNumber.compareTo(other.sequenceNumber)
     }
 
-    /** Whether the worker sent nothing in between. */
+    /** Returns whether the worker sent no heartbeat between [other] and this one, both in the same epoch. */
     fun follows(other: HeartbeatVersion): Boolean {
         if (epoch != other.epoch) return false
         return sequenceNumber == other.sequenceNumber + 1
@@ -76,8 +80,8 @@
 }
 
 /**
- * The state of a machine as its worker reports it. [fencingToken] is the highest term that the worker has seen;
- * [interruptionNoticeSeconds] is the time until a spot interruption, if the cloud has given notice of one.
+ * The state of a machine as reported by its worker. [fencingToken] is the highest term that the worker has seen.
+ * [interruptionNoticeSeconds] is the time until a spot interruption, or null if the cloud has not given notice of one.
  */
 data class Heartbeat(
     val machineName: MachineName,
--- a/src/main/kotlin/umberslip/agents/HeartbeatCodec.kt
+++ b/src/main/kotlin/umberslip/agents/HeartbeatCodec.kt
@@ -8,11 +8,11 @@
 import umberslip.http.MalformedMessageException
 
 /**
- * Reads heartbeats. Hundreds arrive every second, each with all tasks of a machine, so they are read as they stream by
- * and never become maps. Fields that are not known are skipped.
+ * Decodes heartbeats. Hundreds arrive every second, each with all tasks of a machine, so they are decoded in one pass
+ * without intermediate maps. Unknown fields are skipped.
  */
 object HeartbeatCodec {
-    /** Throws [MalformedMessageException], which names the wrong field as the protocol does. */
+    /** @throws MalformedMessageException naming the invalid field by its name in the protocol */
     fun parse(body: ByteArray): Heartbeat = Documents.readCbor(body, ::readHeartbeat)
 
     private fun readHeartbeat(input: DocumentReader): Heartbeat {
@@ -40,7 +40,7 @@
             }
         }
         return Heartbeat(
-            machineName(required(machineName, WorkerProtocol.MACHINE)),
+            parseMachineName(required(machineName, WorkerProtocol.MACHINE)),
             required(type, WorkerProtocol.INSTANCE_TYPE),
             required(zone, WorkerProtocol.ZONE),
             spot,
@@ -54,7 +54,7 @@
         )
     }
 
-    private fun machineName(name: String): MachineName {
+    private fun parseMachineName(name: String): MachineName {
         if (name.isEmpty()) throw MalformedMessageException("${WorkerProtocol.MACHINE} is empty")
         return MachineName(name)
     }
@@ -67,31 +67,31 @@
         var saved = false
         input.map { name ->
             when (name) {
-                WorkerProtocol.TASK -> task = taskId(input.text(name))
+                WorkerProtocol.TASK -> task = parseTaskId(input.text(name))
                 WorkerProtocol.ATTEMPT -> attempt = input.long(name)
-                WorkerProtocol.STATE -> state = taskState(input.text(name))
+                WorkerProtocol.STATE -> state = parseTaskState(input.text(name))
                 WorkerProtocol.EXIT_CAUSE -> if (!input.isNull) cause = input.text(name)
                 WorkerProtocol.SAVED -> if (!input.isNull) saved = input.flag(name)
                 else -> input.skip()
             }
         }
-        val knownState = required(state, WorkerProtocol.STATE)
+        val requiredState = required(state, WorkerProtocol.STATE)
         return ReportedTask(
             required(task, WorkerProtocol.TASK),
             required(attempt, WorkerProtocol.ATTEMPT),
-            knownState,
-            if (knownState == TaskState.EXITED) WorkerProtocol.exitCause(cause) else null,
+            requiredState,
+            if (requiredState == TaskState.EXITED) WorkerProtocol.parseExitCause(cause) else null,
             saved,
         )
     }
 
-    private fun taskId(text: String): TaskId {
+    private fun parseTaskId(text: String): TaskId {
         val task = TaskId.parse(text)
         return task ?: throw MalformedMessageException("${WorkerProtocol.TASK} is not a task id")
     }
 
-    private fun taskState(name: String): TaskState =
-        WorkerProtocol.taskState(name)
+    private fun parseTaskState(name: String): TaskState =
+        WorkerProtocol.parseTaskState(name)
             ?: throw MalformedMessageException("unknown ${WorkerProtocol.STATE} of a ${WorkerProtocol.TASK}")
 
     private fun <T : Any> required(
--- a/src/main/kotlin/umberslip/agents/WorkerCommand.kt
+++ b/src/main/kotlin/umberslip/agents/WorkerCommand.kt
@@ -3,16 +3,16 @@
 import umberslip.core.TaskId
 import umberslip.core.Term
 
-/** A command to a worker. The same command may be given again until a heartbeat shows that it was carried out. */
+/** A command to a worker. It may be sent repeatedly until a heartbeat shows that the worker carried it out. */
 sealed interface WorkerCommand {
-    /** What is to be done, as the protocol names it. */
+    /** The action, by its name in the protocol. */
     val verb: String
     val task: TaskId
 
-    /** Tells one start of the task from another. */
+    /** The number that distinguishes one start of the task from another. */
     val attempt: Long
 
-    /** The command as the protocol has it. */
+    /** Returns the command in the form of the protocol. */
     fun toMap(): Map<String, Any?> =
         mapOf(
             WorkerProtocol.VERB to verb,
@@ -20,7 +20,7 @@
             WorkerProtocol.ATTEMPT to attempt,
         )
 
-    /** Starts a task under an attempt number that the worker has not had yet. */
+    /** Starts a task under an attempt number that the worker has not received before. */
     data class Start(
         override val task: TaskId,
         override val attempt: Long,
@@ -28,7 +28,7 @@
         override val verb get() = WorkerProtocol.VERB_START
     }
 
-    /** Stops a task; one that saves checkpoints gets [gracePeriodSeconds] to save the last one. */
+    /** Stops a task. A task that saves checkpoints has [gracePeriodSeconds] to save the last one. */
     data class Stop(
         override val task: TaskId,
         override val attempt: Long,
@@ -48,12 +48,12 @@
     }
 }
 
-/** The answer that renews a worker's lease, if [term] is not lower than the fencing token that the worker has seen. */
+/** A response that renews a worker's lease if [term] is not lower than the fencing token that the worker has seen. */
 data class HeartbeatResponse(
     val term: Term,
     val commands: List<WorkerCommand> = emptyList(),
 ) {
-    /** The answer as the protocol has it. */
+    /** Returns the response in the form of the protocol. */
     fun toMap(): Map<String, Any?> =
         mapOf(
             WorkerProtocol.FENCING_TOKEN to term.value,
--- a/src/main/kotlin/umberslip/agents/WorkerProtocol.kt
+++ b/src/main/kotlin/umberslip/agents/WorkerProtocol.kt
@@ -1,8 +1,8 @@
 package umberslip.agents
 
-/** The names of the protocol between controllers and workers. Nothing outside this package's codecs holds them. */
+/** The names of the protocol between controllers and workers. Only the codecs of this package use them. */
 internal object WorkerProtocol {
-    // A heartbeat, and the response to it.
+    // Fields of a heartbeat and of its response.
     const val MACHINE = "host"
     const val INSTANCE_TYPE = "hosttype"
     const val ZONE = "hall"
@@ -14,22 +14,22 @@
     const val TASKS = "pieces"
     const val COMMANDS = "orders"
 
-    // A task on a machine.
+    // Fields of a reported task.
     const val TASK = "piece"
     const val ATTEMPT = "try"
     const val STATE = "status"
     const val EXIT_CAUSE = "cause"
     const val SAVED = "saved"
 
-    // A command.
+    // Fields and verbs of a command.
     const val VERB = "verb"
     const val VERB_START = "start"
     const val VERB_STOP = "stop"
     const val VERB_CLEAR = "clear"
     const val GRACE_PERIOD_SECONDS = "wind_down_s"
 
-    /** Null for a state that the protocol does not have. */
-    fun taskState(name: String): TaskState? =
+    /** Returns the state with this [name] in the protocol, or null if there is none. */
+    fun parseTaskState(name: String): TaskState? =
         when (name) {
             "fetching" -> TaskState.FETCHING
             "gathering" -> TaskState.WAITING_FOR_GANG
@@ -39,8 +39,8 @@
             else -> null
         }
 
-    /** A cause from a later protocol, or none, counts as a failure of no known kind. */
-    fun exitCause(name: String?): ExitCause =
+    /** Returns [ExitCause.ERROR] if the cause is missing or comes from a later version of the protocol. */
+    fun parseExitCause(name: String?): ExitCause =
         when (name) {
             "done" -> ExitCause.DONE
             "halted" -> ExitCause.STOPPED
--- a/src/test/kotlin/umberslip/agents/FollowerLeaseRenewalTest.kt
+++ b/src/test/kotlin/umberslip/agents/FollowerLeaseRenewalTest.kt
@@ -49,8 +49,8 @@
     ) = Heartbeat(MachineName("m"), "small", "east", false, version, Term(fencingToken), null, tasks)
 
     @Test
-    fun `a heartbeat is answered with the leader's term while the records allow it`() {
-        assertNull(answer(), "there is no leader")
+    fun `a heartbeat is answered with the leader's term as long as the records permit it`() {
+        assertNull(answer(), "there is no leader's record")
         put(Keys.LEADER, LeaderRecord("c-1", Term(4), StoreLease(1)).toMap(), 1)
         put(Keys.job(spec.id), JobRecord(spec, Instant.EPOCH, false).toMap(), 2)
         assertEquals(HeartbeatResponse(Term(4), emptyList()), answer())
@@ -58,7 +58,7 @@
         assertNull(answer(fencingToken = 5), "the worker has seen a higher term")
         put(Keys.job(spec.id), JobRecord(spec, Instant.EPOCH, true).toMap(), 3)
         val stop = WorkerCommand.Stop(running.task, 7, 0.0)
-        assertEquals(HeartbeatResponse(Term(4), listOf(stop)), answer(), "a cancellation takes effect here too")
+        assertEquals(HeartbeatResponse(Term(4), listOf(stop)), answer(), "the task of a cancelled job is stopped")
         put(Keys.REVOKED_RENEWALS, MachineSetRecord(setOf(MachineName("m"))).toMap(), 4)
         assertNull(answer())
         put(Keys.REVOKED_RENEWALS, MachineSetRecord(emptySet()).toMap(), 5)
@@ -66,8 +66,8 @@
     }
 
     @Test
-    fun `late copies are ignored, and only two heartbeats in a row renew a lease`() {
-        val renewal = FollowerLeaseRenewal(connections = 100)
+    fun `late copies are rejected, and only two consecutive heartbeats count as a renewed lease`() {
+        val renewal = FollowerLeaseRenewal(maxConnections = 100)
 
         fun heartbeat(
             agentEpoch: Long,
@@ -77,7 +77,7 @@
         assertFalse(renewal.acceptIfNew(heartbeat(1, 7)))
         assertFalse(renewal.acceptIfNew(heartbeat(1, 3)))
         assertTrue(renewal.acceptIfNew(heartbeat(1, 9)))
-        assertEquals(emptySet<MachineName>(), renewal.takeRenewed(100), "the worker received no response")
+        assertEquals(emptySet<MachineName>(), renewal.takeRenewed(100), "the worker has not received a response")
         assertTrue(renewal.acceptIfNew(heartbeat(1, 10)))
         assertEquals(setOf(MachineName("m")), renewal.takeRenewed(100))
         assertEquals(emptySet<MachineName>(), renewal.takeRenewed(100))
@@ -86,8 +86,8 @@
     }
 
     @Test
-    fun `malformed heartbeats are refused`() {
-        val good =
+    fun `malformed heartbeats are rejected`() {
+        val validFields =
             mapOf(
                 "host" to "m",
                 "hosttype" to "t",
@@ -97,8 +97,8 @@
                 "warrant" to 0L,
                 "pieces" to emptyList<Any>(),
             )
-        assertEquals(MachineName("m"), HeartbeatCodec.parse(Documents.writeCbor(good)).machineName)
-        val wrongFields =
+        assertEquals(MachineName("m"), HeartbeatCodec.parse(Documents.writeCbor(validFields)).machineName)
+        val invalidFields =
             listOf(
                 "host" to "",
                 "host" to null,
@@ -107,9 +107,9 @@
                 "pieces" to 3L,
                 "warrant" to 1.5,
             )
-        for (wrong in wrongFields) {
-            val body = Documents.writeCbor(good + wrong)
-            assertThrows(MalformedMessageException::class.java, { HeartbeatCodec.parse(body) }, "$wrong")
+        for (invalid in invalidFields) {
+            val body = Documents.writeCbor(validFields + invalid)
+            assertThrows(MalformedMessageException::class.java, { HeartbeatCodec.parse(body) }, "$invalid")
         }
     }
 }
