--- a/src/main/kotlin/umberslip/actor/Actor.kt
+++ b/src/main/kotlin/umberslip/actor/Actor.kt
@@ -60,8 +60,9 @@
 
     companion object {
         /**
-         * Sufficient for the messages of the controller's own components. An actor that receives requests adds the
-         * maximum number of connections: requests are not pipelined, so there is at most one at a time per connection.
+         * This capacity is sufficient for the messages of the controller's own components. An actor that receives
+         * requests adds the maximum number of connections: requests are not pipelined, so each connection has at most
+         * one at a time.
          */
         const val DEFAULT_CAPACITY = 2048
     }
--- a/src/main/kotlin/umberslip/leadership/LeaderLease.kt
+++ b/src/main/kotlin/umberslip/leadership/LeaderLease.kt
@@ -170,10 +170,13 @@
         }
 
     private companion object {
-        /** Long enough for another controller to acquire the leader's record and for the workers to find it. */
+        /**
+         * The back-off after contact with the workers was lost. It is long enough for another controller to acquire the
+         * leader's record and for the workers to find that controller.
+         */
         val ELECTION_BACK_OFF = 30.seconds
 
-        /** Longer than peers take to learn that the key-value store no longer serves one of them. */
+        /** The minimum duration is longer than peers take to learn that the store no longer serves one of them. */
         val MIN_CUT_OFF = 2.seconds
         val LOG = LoggerFactory.getLogger("umberslip.leadership")
     }
--- a/src/main/kotlin/umberslip/leadership/LeadershipListener.kt
+++ b/src/main/kotlin/umberslip/leadership/LeadershipListener.kt
@@ -3,7 +3,7 @@
 import umberslip.records.RecordView
 import kotlin.time.Duration
 
-/** Is notified on the actors' thread when this controller becomes the leader and when it steps down. */
+/** A listener that is notified on the actors' thread when this controller becomes the leader and when it steps down. */
 interface LeadershipListener {
     /**
      * Called when this controller has become the leader.
--- a/src/main/kotlin/umberslip/peers/Peers.kt
+++ b/src/main/kotlin/umberslip/peers/Peers.kt
@@ -166,7 +166,10 @@
         /** A peer counts as unreachable once three pings have had no pong. */
         val PONG_TIMEOUT = 1500.milliseconds
 
-        /** Longer than a short network interruption, which a connection survives. */
+        /**
+         * The age of the last pong beyond which a connection is replaced. It is longer than a short network
+         * interruption, which a connection survives.
+         */
         val RECONNECT_AFTER = 4.seconds
     }
 }
