--- a/src/main/kotlin/umberslip/scheduling/WriteResolution.kt
+++ b/src/main/kotlin/umberslip/scheduling/WriteResolution.kt
@@ -64,7 +64,7 @@
             is TransactionResult.Applied -> fenced(scheduler, result.version)
             is TransactionResult.PreconditionFailed -> fencedEarlier(scheduler, record)
             TransactionResult.LeaseExpired, is TransactionResult.Rejected -> {
-                leaderLease.markLost("the leader's lease expired")
+                leaderLease.markLost("the leader's lease has expired")
                 false
             }
         }
