--- a/src/main/kotlin/umberslip/leadership/LeaderElection.kt
+++ b/src/main/kotlin/umberslip/leadership/LeaderElection.kt
@@ -117,7 +117,7 @@
         val result = writeLeaderRecord(term, previousTerm?.version ?: Version.NONE, lease)
         if (result !is TransactionResult.Applied) {
             if (result is TransactionResult.Rejected) {
-                throw ServiceUnavailableException("the leader's record was rejected: ${result.why}")
+                throw ServiceUnavailableException("the leader's record was rejected: ${result.reason}")
             }
             if (result is TransactionResult.PreconditionFailed) store.endLease(lease)
             recordWatcher.confirm()
