--- a/src/main/kotlin/umberslip/api/JobApi.kt
+++ b/src/main/kotlin/umberslip/api/JobApi.kt
@@ -114,7 +114,7 @@
     private fun unavailable(): Response {
         refused.increment()
         // Users keep their connections: where another controller may serve them, the connection is closed.
-        return Response.retryAfter(1, "the state service gives no answer", close = !ready())
+        return Response.retryAfter(1, "the state service gives no answer", closeConnection = !ready())
     }
 
     private fun submit(message: JobApiMessage.Submit) {
--- a/src/main/kotlin/umberslip/core/Resources.kt
+++ b/src/main/kotlin/umberslip/core/Resources.kt
@@ -17,7 +17,7 @@
     operator fun minus(other: Resources) = Resources(cpus - other.cpus, gpus - other.gpus, memoryGb - other.memoryGb)
 
     /** Whether nothing is left for any task. */
-    val isNone: Boolean get() = cpus < EPSILON && gpus < EPSILON || memoryGb < EPSILON
+    val isExhausted: Boolean get() = cpus < EPSILON && gpus < EPSILON || memoryGb < EPSILON
 
     /** How many times [task] fits. */
     fun countOf(task: Resources): Int {
--- a/src/main/kotlin/umberslip/daemon/Controller.kt
+++ b/src/main/kotlin/umberslip/daemon/Controller.kt
@@ -80,7 +80,7 @@
     private val renewal = FollowerLeaseRenewal(settings.sockets)
     private val renewalPublisher = FollowerRenewalPublisher(scope, settings, store, renewal)
     private val heartbeats =
-        HeartbeatReceiver(scope, settings, leaderLease, leader, recordWatcher, renewal, isReachable, ::served)
+        HeartbeatReceiver(scope, settings, leaderLease, leader, recordWatcher, renewal, isReachable, ::isServedByStore)
     private val routes = Routes(jobApi, heartbeats, ::ready, scrapeMetrics)
 
     private fun createJobApi() =
@@ -134,7 +134,7 @@
     ) = routes.handle(request, respond)
 
     /** Whether the key-value store has served this controller lately. */
-    fun served(): Boolean = readiness.served(recordWatcher.confirmedAt, clock.now())
+    fun isServedByStore(): Boolean = readiness.served(recordWatcher.confirmedAt, clock.now())
 
     private fun ready(): Boolean = readiness.ready(recordWatcher.confirmedAt, clock.now(), peerHealth())
 
--- a/src/main/kotlin/umberslip/daemon/Daemon.kt
+++ b/src/main/kotlin/umberslip/daemon/Daemon.kt
@@ -53,7 +53,7 @@
             settings.known,
             clock,
             { controller.refreshRecords() },
-            { controller.served() },
+            { controller.isServedByStore() },
         )
     private val controller =
         Controller(
--- a/src/main/kotlin/umberslip/http/HttpServer.kt
+++ b/src/main/kotlin/umberslip/http/HttpServer.kt
@@ -111,7 +111,7 @@
             handle(request) { response ->
                 if (!responded) {
                     responded = true
-                    send(ctx, response, keepAlive && !response.close)
+                    send(ctx, response, keepAlive && !response.closeConnection)
                 }
             }
         }
--- a/src/main/kotlin/umberslip/http/RequestHandling.kt
+++ b/src/main/kotlin/umberslip/http/RequestHandling.kt
@@ -20,7 +20,7 @@
     /** Sent as text in place of [body]. */
     val plain: String? = null,
     /** Closes the connection, so that the sender's next one may lead to another controller. */
-    val close: Boolean = false,
+    val closeConnection: Boolean = false,
 ) {
     companion object {
         private const val ERROR = "error"
@@ -29,8 +29,8 @@
         fun retryAfter(
             seconds: Int,
             why: String,
-            close: Boolean = false,
-        ) = Response(503, mapOf(ERROR to why), seconds, close = close)
+            closeConnection: Boolean = false,
+        ) = Response(503, mapOf(ERROR to why), seconds, closeConnection = closeConnection)
 
         /** To a worker: another controller leads, and this one does not know which; the worker asks the others. */
         val MISDIRECTED = Response(421, emptyMap<String, Any?>())
--- a/src/main/kotlin/umberslip/scheduling/DispatchRounds.kt
+++ b/src/main/kotlin/umberslip/scheduling/DispatchRounds.kt
@@ -56,7 +56,7 @@
         if (!machine.acceptsWork || machine.noPlacementUntil > now) return null
         val availableFor = if (machine.isUsable) Duration.INFINITE else machine.remainingDrainTime(now)
         val resources = machine.freeResources() ?: return null
-        if (resources.isNone || hasUnknownTasks(machine)) return null
+        if (resources.isExhausted || hasUnknownTasks(machine)) return null
         return FreeCapacity(machine, resources, availableFor, now)
     }
 
--- a/src/test/kotlin/umberslip/http/HttpTest.kt
+++ b/src/test/kotlin/umberslip/http/HttpTest.kt
@@ -25,7 +25,7 @@
             served.incrementAndGet()
             when (request.path) {
                 "/echo" -> respond(Response(200, mapOf("got" to request.fields().text("say"))))
-                "/elsewhere" -> respond(Response.retryAfter(3, "not here", close = true))
+                "/elsewhere" -> respond(Response.retryAfter(3, "not here", closeConnection = true))
                 "/fails" -> error("on purpose")
                 else -> respond(Response.error(404, "no such path"))
             }
--- a/src/test/kotlin/umberslip/sim/SimulatedControllers.kt
+++ b/src/test/kotlin/umberslip/sim/SimulatedControllers.kt
@@ -120,7 +120,7 @@
 
     private fun peerHealth(from: Int): PeerHealth {
         val reachable = members.indices.filter { it != from && reaches(from, it) }
-        return if (reachable.any { controllers[it]?.served() == true }) {
+        return if (reachable.any { controllers[it]?.isServedByStore() == true }) {
             PeerHealth.SERVED
         } else if (reachable.isEmpty()) {
             PeerHealth.UNREACHABLE
--- a/src/test/kotlin/umberslip/sim/SimulatedUsers.kt
+++ b/src/test/kotlin/umberslip/sim/SimulatedUsers.kt
@@ -133,7 +133,7 @@
             val response =
                 withTimeoutOrNull(RESPONSE_TIMEOUT_MILLIS) { controllers.request(to, method, path, body).await() }
             response?.let { ProtocolLimits.response(it.body) }?.let { simulation.violated("$path answered with $it") }
-            controller = to.takeIf { response?.close == false }
+            controller = to.takeIf { response?.closeConnection == false }
             return response
         }
 
