--- a/src/main/kotlin/umberslip/api/Feasibility.kt
+++ b/src/main/kotlin/umberslip/api/Feasibility.kt
@@ -5,18 +5,18 @@
 import umberslip.core.Shape
 import umberslip.settings.TeamSettings
 
-/** Whether a job could ever run; pure. The reasons are part of the users' API. */
+/** Checks whether a job can ever run. Pure. The reasons are part of the users' API. */
 object Feasibility {
     const val UNKNOWN_TEAM = "unknown team"
     private const val EXCEEDS_QUOTA_LIMIT = "needs more than the team's limit"
     private const val UNKNOWN_ZONE = "no such zone"
     private const val NO_INSTANCE_TYPE = "a task fits no allowed machine type"
 
-    /** The tolerance for the rounding of products. */
+    /** The tolerance for rounding errors of products. */
     private const val EPSILON = 1e-6
 
-    /** Why a job can never run; null where it can. */
-    fun objection(
+    /** Returns why the job can never run, or null if it can. */
+    fun infeasibilityReason(
         spec: JobSpec,
         teams: Map<String, TeamSettings>,
         instanceTypes: List<InstanceType>,
@@ -33,10 +33,10 @@
         spec: JobSpec,
         team: TeamSettings,
     ): Boolean {
-        // The tasks of gangs and daemons run at the same time, those of arrays one by one if need be.
-        val tasksAtOnce = if (spec.shape == Shape.ARRAY) 1 else spec.tasks
-        if (team.cpusMax != null && spec.cpus * tasksAtOnce > team.cpusMax + EPSILON) return true
-        return team.gpusMax != null && spec.gpus * tasksAtOnce > team.gpusMax + EPSILON
+        // All tasks of a gang or a daemon run at the same time, those of an array one after another if necessary.
+        val concurrentTasks = if (spec.shape == Shape.ARRAY) 1 else spec.tasks
+        if (team.cpusMax != null && spec.cpus * concurrentTasks > team.cpusMax + EPSILON) return true
+        return team.gpusMax != null && spec.gpus * concurrentTasks > team.gpusMax + EPSILON
     }
 
     private fun fits(
--- a/src/main/kotlin/umberslip/api/JobApi.kt
+++ b/src/main/kotlin/umberslip/api/JobApi.kt
@@ -22,59 +22,59 @@
 import java.time.Instant
 import kotlin.time.Duration.Companion.seconds
 
-/** The users' API: submissions, status and cancellations. Every controller serves it, whichever leads. */
+/** The users' API: submissions, status requests and cancellations. Every controller serves it, leader or not. */
 class JobApi(
     private val scope: CoroutineScope,
     private val settings: Settings,
     store: KeyValueStore,
-    writes: RateLimiter,
+    writeRateLimiter: RateLimiter,
     private val recordWatcher: RecordWatcher,
     private val clock: Clock,
     private val wallClock: () -> Instant,
     /** Called after a write that other controllers should see soon. */
     announce: () -> Unit,
     /** Whether this controller can serve users. */
-    private val ready: () -> Boolean,
+    private val isReady: () -> Boolean,
     metrics: MeterRegistry,
 ) : Actor<JobApiMessage>("api", scope, DEFAULT_CAPACITY + settings.sockets) {
     private val teams = settings.teams.associateBy { it.name }
     private val outcomes = OutcomeCache(store)
-    private val statuses = JobStatusReader(recordWatcher, outcomes)
-    private val cancellation = JobCancellation(store, writes, recordWatcher, statuses, outcomes, announce)
-    private val submissionWriter = SubmissionWriter(store, writes, announce, log)
-    private val submissions = SubmissionQueue(settings.storeLimits.transactionOps)
+    private val statusReader = JobStatusReader(recordWatcher, outcomes)
+    private val cancellation = JobCancellation(store, writeRateLimiter, recordWatcher, statusReader, outcomes, announce)
+    private val submissionWriter = SubmissionWriter(store, writeRateLimiter, announce, log)
+    private val submissionQueue = SubmissionQueue(settings.storeLimits.transactionOps)
     private var isWritingBatch = false
     private var openRequests = 0
 
     /** Keys of malformed records that have been logged. */
     private val loggedKeys = HashSet<String>()
 
-    /** Null before the cloud was read for the first time. */
+    /** Null until the instance types have been read from the cloud for the first time. */
     private var instanceTypes: List<InstanceType>? = null
-    private val accepted = metrics.counter("umberslip.jobs.accepted")
-    private val refused = metrics.counter("umberslip.requests.refused")
+    private val acceptedJobs = metrics.counter("umberslip.jobs.accepted")
+    private val refusedRequests = metrics.counter("umberslip.requests.refused")
 
     override suspend fun receive(message: JobApiMessage) {
         when (message) {
-            is JobApiMessage.InstanceTypesChanged -> instanceTypes = message.all
+            is JobApiMessage.InstanceTypesChanged -> instanceTypes = message.instanceTypes
             is JobApiMessage.Submit -> submit(message)
-            is JobApiMessage.Status -> answer(message.respond) { currentStatus(message.id) }
-            is JobApiMessage.Cancel -> answer(message.respond) { cancel(message.id) }
+            is JobApiMessage.Status -> respondAsync(message.respond) { currentStatus(message.id) }
+            is JobApiMessage.Cancel -> respondAsync(message.respond) { cancel(message.id) }
             JobApiMessage.BatchCompleted -> {
                 isWritingBatch = false
                 writeBatch()
             }
-            is JobApiMessage.Answered -> {
+            is JobApiMessage.ResponseReady -> {
                 openRequests--
                 message.respond(message.response)
             }
         }
     }
 
-    /** Handles a request concurrently with the others. Beyond a number of them, it is refused at once. */
-    private fun answer(
+    /** Handles a request concurrently with others. If [MAX_OPEN_REQUESTS] are open, the request is refused at once. */
+    private fun respondAsync(
         respond: (Response) -> Unit,
-        find: suspend () -> Response?,
+        produceResponse: suspend () -> Response?,
     ) {
         if (openRequests >= MAX_OPEN_REQUESTS) {
             refuse(respond, 2, "too many requests at once")
@@ -84,19 +84,19 @@
         scope.launch {
             var response: Response? = null
             try {
-                response = find()
+                response = produceResponse()
             } catch (e: MalformedRecordException) {
                 logMalformed(e)
             } catch (_: ServiceException) {
-                // Refused below.
+                // The request is answered with status 503 below.
             } finally {
-                // However it ended: the request holds one of the open places until it is answered.
-                enqueue(JobApiMessage.Answered(respond, response ?: unavailable()))
+                // Sent after success and any failure alike: the request counts as open until this message is handled.
+                enqueue(JobApiMessage.ResponseReady(respond, response ?: unavailableResponse()))
             }
         }
     }
 
-    /** Once for each key, not for each request. */
+    /** Logs a malformed record once per key, not once per request. */
     private fun logMalformed(failure: MalformedRecordException) {
         if (loggedKeys.size >= MAX_LOGGED_KEYS || !loggedKeys.add(failure.key)) return
         log.error("malformed record left alone: key={} reason={}", failure.key, failure.reason)
@@ -105,75 +105,80 @@
     private fun refuse(
         respond: (Response) -> Unit,
         retryAfterSeconds: Int,
-        why: String,
+        reason: String,
     ) {
-        refused.increment()
-        respond(Response.retryAfter(retryAfterSeconds, why))
+        refusedRequests.increment()
+        respond(Response.retryAfter(retryAfterSeconds, reason))
     }
 
-    private fun unavailable(): Response {
-        refused.increment()
-        // Users keep their connections: where another controller may serve them, the connection is closed.
-        return Response.retryAfter(1, "the state service gives no answer", closeConnection = !ready())
+    private fun unavailableResponse(): Response {
+        refusedRequests.increment()
+        // Users reuse their connections. If this controller is not ready, another one may be able to serve the user, so
+        // the connection is closed.
+        return Response.retryAfter(1, "the state service gives no answer", closeConnection = !isReady())
     }
 
     private fun submit(message: JobApiMessage.Submit) {
         val spec = message.spec
-        outcomes.cached(spec.id)?.let {
+        outcomes.getIfPresent(spec.id)?.let {
             message.respond(JobResponses.status(spec.id, JobStatus.Finished(it)))
             return
         }
-        val objection = objection(spec)
-        if (objection == null && instanceTypes == null) {
+        val infeasibilityReason = infeasibilityReason(spec)
+        if (infeasibilityReason == null && instanceTypes == null) {
             refuse(message.respond, 1, "the machine types are not known yet")
             return
         }
-        if (objection == null && submissions.isFull) {
+        if (infeasibilityReason == null && submissionQueue.isFull) {
             refuse(message.respond, 2, "too many submissions at once")
             return
         }
-        answer(message.respond) { accept(spec, objection) }
+        respondAsync(message.respond) { accept(spec, infeasibilityReason) }
     }
 
-    /** Why a job can never run, or null as far as that is known. */
-    private fun objection(spec: JobSpec): String? {
+    /**
+     * Returns why the job can never run, or null if no reason is known. Before the instance types are known, only the
+     * team is checked.
+     */
+    private fun infeasibilityReason(spec: JobSpec): String? {
         if (spec.team !in teams) return Feasibility.UNKNOWN_TEAM
-        return instanceTypes?.let { Feasibility.objection(spec, teams, it, settings.zones) }
+        return instanceTypes?.let { Feasibility.infeasibilityReason(spec, teams, it, settings.zones) }
     }
 
-    /** Accepts a job unless there is an objection to it; null where that could not be decided. */
+    /** Accepts the job unless it is infeasible. Returns null if it could not be determined whether it is accepted. */
     private suspend fun accept(
         spec: JobSpec,
-        objection: String?,
+        infeasibilityReason: String?,
     ): Response? {
         val record = JobRecord(spec, wallClock(), cancelled = false)
         val submission = PendingSubmission(record, Documents.jsonSize(record.toMap()))
         val isTooLarge = submission.bytes > settings.storeLimits.valueBytes
         var isCancelled = false
-        if (objection != null || isTooLarge || spec.dependencies.isNotEmpty()) {
-            // A job that was accepted once is never refused later, whatever the instance types and limits are by then.
+        if (infeasibilityReason != null || isTooLarge || spec.dependencies.isNotEmpty()) {
+            // A job that has been accepted is never refused later, even if instance types or limits have changed since.
             val records = recordWatcher.confirm() ?: return null
-            val status = statuses.status(spec.id, records)
+            val status = statusReader.readStatus(spec.id, records)
             if (status != JobStatus.Unknown) return JobResponses.status(spec.id, status)
             if (isTooLarge) return JobResponses.tooLarge()
-            val reason = objection ?: dependencyObjection(spec, records)
-            if (reason != null) return JobResponses.infeasible(reason)
-            isCancelled = statuses.isCancelledByDependency(record, records)
+            val rejectionReason = infeasibilityReason ?: invalidDependencyReason(spec, records)
+            if (rejectionReason != null) return JobResponses.infeasible(rejectionReason)
+            isCancelled = statusReader.isCancelledByDependency(record, records)
         }
-        submissions.add(submission)
+        submissionQueue.add(submission)
         writeBatch()
         return when (submission.result.await()) {
             SubmissionResult.CREATED -> {
-                accepted.increment()
+                acceptedJobs.increment()
                 JobResponses.accepted(spec.id, isCancelled)
             }
-            SubmissionResult.KNOWN -> statuses.status(spec.id)?.let { JobResponses.status(spec.id, it) }
+            SubmissionResult.ALREADY_ACCEPTED ->
+                statusReader.readStatus(spec.id)?.let { JobResponses.status(spec.id, it) }
             SubmissionResult.UNCONFIRMED -> null
         }
     }
 
-    /** Why a dependency of the job can never be done, or null. */
-    private suspend fun dependencyObjection(
+    /** Returns why a dependency of the job can never be done, or null if each of them can. */
+    private suspend fun invalidDependencyReason(
         spec: JobSpec,
         records: RecordView,
     ): String? {
@@ -186,10 +191,10 @@
         return null
     }
 
-    /** Writes the next batch of submissions, unless one is being written. */
+    /** Writes the next batch of submissions unless a batch is being written. */
     private fun writeBatch() {
         if (isWritingBatch) return
-        val batch = submissions.nextBatch()
+        val batch = submissionQueue.nextBatch()
         if (batch.isEmpty()) return
         isWritingBatch = true
         scope.launch {
@@ -202,26 +207,27 @@
     }
 
     /**
-     * A job's status; null where it could not be confirmed, or where that took too long: after a pause of this process
-     * its user no longer waits, and the status read before may contradict what other controllers answered since.
+     * Returns the job's status, or null if it could not be confirmed within [USER_TIMEOUT]. After a pause of this
+     * process the user no longer waits, and a status read before the pause may contradict what other controllers have
+     * answered since.
      */
     private suspend fun currentStatus(id: JobId): Response? {
-        val asked = clock.now()
-        val status = statuses.status(id) ?: return null
-        return if (clock.now() - asked > USER_PATIENCE) null else JobResponses.status(id, status)
+        val startedAt = clock.now()
+        val status = statusReader.readStatus(id) ?: return null
+        return if (clock.now() - startedAt > USER_TIMEOUT) null else JobResponses.status(id, status)
     }
 
-    /** Null where the cancellation could not be decided. */
+    /** Returns null if it could not be determined whether the job is cancelled. */
     private suspend fun cancel(id: JobId): Response? = cancellation.cancel(id)?.let { JobResponses.status(id, it) }
 
     private companion object {
-        /** As many requests as the key-value store can serve before their users give up. */
+        /** The number of requests that the key-value store can serve before their users time out. */
         const val MAX_OPEN_REQUESTS = 400
 
-        /** Bounds the memory that is spent on remembering which malformed records were logged. */
+        /** Bounds the memory used to remember which malformed records were logged. */
         const val MAX_LOGGED_KEYS = 1000
 
-        /** How long users wait for the response to a request. */
-        val USER_PATIENCE = 2.seconds
+        /** How long users wait for a response. */
+        val USER_TIMEOUT = 2.seconds
     }
 }
--- a/src/main/kotlin/umberslip/api/JobApiMessage.kt
+++ b/src/main/kotlin/umberslip/api/JobApiMessage.kt
@@ -5,7 +5,7 @@
 import umberslip.core.JobSpec
 import umberslip.http.Response
 
-/** What the [JobApi] handles. Each request is responded to exactly once. */
+/** Messages handled by [JobApi]. Each request is responded to exactly once. */
 sealed interface JobApiMessage {
     class Submit(
         val spec: JobSpec,
@@ -22,16 +22,16 @@
         val respond: (Response) -> Unit,
     ) : JobApiMessage
 
-    /** The cloud offers these instance types; before the first of these messages nothing is accepted. */
+    /** Reports the instance types that the cloud offers. No job is accepted before the first of these messages. */
     class InstanceTypesChanged(
-        val all: List<InstanceType>,
+        val instanceTypes: List<InstanceType>,
     ) : JobApiMessage
 
-    /** The API's own: a batch of submissions was written or failed, so the next may be written. */
+    /** Internal to [JobApi]: a batch of submissions was written or failed, so the next one may be written. */
     data object BatchCompleted : JobApiMessage
 
-    /** The API's own: a response to a request is ready. */
-    class Answered(
+    /** Internal to [JobApi]: the response to a request is ready to be sent. */
+    class ResponseReady(
         val respond: (Response) -> Unit,
         val response: Response,
     ) : JobApiMessage
--- a/src/main/kotlin/umberslip/api/JobCancellation.kt
+++ b/src/main/kotlin/umberslip/api/JobCancellation.kt
@@ -13,29 +13,28 @@
 import umberslip.store.Version
 import umberslip.store.Write
 
-/** Cancels jobs. */
+/** Cancels jobs by a compare-and-swap on their records. */
 internal class JobCancellation(
     private val store: KeyValueStore,
-    private val writes: RateLimiter,
+    private val writeRateLimiter: RateLimiter,
     private val recordWatcher: RecordWatcher,
-    private val statuses: JobStatusReader,
+    private val statusReader: JobStatusReader,
     private val outcomes: OutcomeCache,
     private val announce: () -> Unit,
 ) {
     /**
-     * The final status of a job, which this call cancels unless it finished before. Null where that could not be
-     * decided.
+     * Cancels the job unless it has finished. Returns the resulting status, or null if it could not be determined.
      *
-     * @throws umberslip.http.ServiceException where a read or the write failed
+     * @throws umberslip.http.ServiceException if a read or the write fails
      */
     suspend fun cancel(id: JobId): JobStatus? {
-        outcomes.cached(id)?.let { return JobStatus.Finished(it) }
+        outcomes.getIfPresent(id)?.let { return JobStatus.Finished(it) }
         repeat(MAX_ATTEMPTS) {
             val records = recordWatcher.confirm() ?: return null
-            val job = records.readJob(id) ?: return statuses.finished(id)
-            val outcome = statuses.cancelled(job.value)
-            if (statuses.isCancelled(job.value, records)) return JobStatus.Finished(outcome)
-            if (write(id, job, outcome) is TransactionResult.Applied) {
+            val job = records.readJob(id) ?: return statusReader.statusWithoutRecord(id)
+            val outcome = statusReader.cancelledOutcome(job.value)
+            if (statusReader.isCancelled(job.value, records)) return JobStatus.Finished(outcome)
+            if (writeCancellation(id, job, outcome) is TransactionResult.Applied) {
                 outcomes.add(id, outcome)
                 announce()
                 return JobStatus.Finished(outcome)
@@ -44,12 +43,12 @@
         return null
     }
 
-    private suspend fun write(
+    private suspend fun writeCancellation(
         id: JobId,
         job: Versioned<JobRecord>,
         outcome: OutcomeRecord,
     ): TransactionResult {
-        // Whichever of done and cancelled is written first is final: both create the outcome's record.
+        // Completion and cancellation both create the outcome record, so whichever is written first is final.
         val preconditions =
             listOf(Precondition(Keys.job(id), job.version), Precondition(Keys.outcome(id), Version.NONE))
         val cancellation =
@@ -57,12 +56,12 @@
                 Write.Put(Keys.outcome(id), outcome.toMap()),
                 Write.Put(Keys.job(id), job.value.copy(cancelled = true).toMap()),
             )
-        writes.take(cancellation.size, urgent = true)
+        writeRateLimiter.take(cancellation.size, urgent = true)
         return store.compareAndSwap(preconditions, cancellation)
     }
 
     private companion object {
-        /** A job's record seldom changes, so that more attempts would hardly help. */
+        /** Job records seldom change, so more attempts would rarely help. */
         const val MAX_ATTEMPTS = 3
     }
 }
--- a/src/main/kotlin/umberslip/api/JobStatus.kt
+++ b/src/main/kotlin/umberslip/api/JobStatus.kt
@@ -15,13 +15,13 @@
         val progress: Progress,
     ) : JobStatus
 
-    /** Final: no later response to any user may say otherwise. */
+    /** A final status: no later response to any user may report a different one. */
     data class Finished(
         val outcome: OutcomeRecord,
     ) : JobStatus
 }
 
-/** The responses of the users' API, and the only place that has its names. */
+/** Builds the responses of the users' API. Their field names and values are defined only here. */
 internal object JobResponses {
     private const val ID = "uid"
     private const val STATUS = "status"
@@ -53,12 +53,12 @@
 
     private fun status(
         id: JobId,
-        word: String,
+        status: String,
         doneTasks: Int = 0,
         runningTasks: Int = 0,
-    ) = Response(200, mapOf(ID to id.value, STATUS to word, DONE_TASKS to doneTasks, RUNNING_TASKS to runningTasks))
+    ) = Response(200, mapOf(ID to id.value, STATUS to status, DONE_TASKS to doneTasks, RUNNING_TASKS to runningTasks))
 
-    /** A job was accepted, perhaps [cancelled] at once with one that it depends on. */
+    /** The job was accepted, but is [cancelled] at once if one of its dependencies is. */
     fun accepted(
         id: JobId,
         cancelled: Boolean,
@@ -67,6 +67,6 @@
     /** The job's record would exceed the size limit of stored values. */
     fun tooLarge() = Response.error(400, "the job's description is too large")
 
-    /** The job could never run. */
-    fun infeasible(why: String) = Response.error(422, why)
+    /** The job can never run. */
+    fun infeasible(reason: String) = Response.error(422, reason)
 }
--- a/src/main/kotlin/umberslip/api/JobStatusReader.kt
+++ b/src/main/kotlin/umberslip/api/JobStatusReader.kt
@@ -8,53 +8,56 @@
 import umberslip.records.RecordView
 import umberslip.records.RecordWatcher
 
-/** Finds out the status of jobs. Every function may throw [umberslip.http.ServiceException]. */
+/** Determines the status of jobs. Every function may throw [umberslip.http.ServiceException]. */
 internal class JobStatusReader(
     private val recordWatcher: RecordWatcher,
     private val outcomes: OutcomeCache,
 ) {
     /**
-     * A job's status as of a read that begins after this call; outcomes may come from the cache, since they are final.
-     * Null where the read failed.
+     * Returns the job's status from a read that begins after this call, or null if the read failed. Outcomes may come
+     * from the cache, since they are final.
      */
-    suspend fun status(id: JobId): JobStatus? {
-        outcomes.cached(id)?.let { return JobStatus.Finished(it) }
-        return status(id, recordWatcher.confirm() ?: return null)
+    suspend fun readStatus(id: JobId): JobStatus? {
+        outcomes.getIfPresent(id)?.let { return JobStatus.Finished(it) }
+        return readStatus(id, recordWatcher.confirm() ?: return null)
     }
 
-    /** A job's status as [records] show it. */
-    suspend fun status(
+    /** Returns the job's status according to [records]. */
+    suspend fun readStatus(
         id: JobId,
         records: RecordView,
     ): JobStatus {
-        val job = records.readJob(id)?.value ?: return finished(id)
-        // It may have been cancelled by this controller while the read was under way.
-        outcomes.cached(id)?.let { return JobStatus.Finished(it) }
-        if (isCancelled(job, records)) return JobStatus.Finished(cancelled(job))
+        val job = records.readJob(id)?.value ?: return statusWithoutRecord(id)
+        // This controller may have cancelled the job while the records were being read.
+        outcomes.getIfPresent(id)?.let { return JobStatus.Finished(it) }
+        if (isCancelled(job, records)) return JobStatus.Finished(cancelledOutcome(job))
         return JobStatus.Unfinished(records.progress(id))
     }
 
-    /** The status of a job without a record: such a job finished, or was never accepted. */
-    suspend fun finished(id: JobId): JobStatus {
+    /** Returns the status of a job that has no record: it has finished or was never accepted. */
+    suspend fun statusWithoutRecord(id: JobId): JobStatus {
         val outcome = outcomes.read(id) ?: return JobStatus.Unknown
         return JobStatus.Finished(outcome)
     }
 
-    /** Whether a stored job is cancelled, itself or with a dependency; the latter is final, so it is cached. */
+    /**
+     * Returns whether a stored job is cancelled, itself or through a dependency. Cancellation through a dependency is
+     * final, so its outcome is cached.
+     */
     suspend fun isCancelled(
         job: JobRecord,
         records: RecordView,
     ): Boolean {
         if (job.cancelled) return true
         if (!isCancelledByDependency(job, records)) return false
-        outcomes.add(job.spec.id, cancelled(job))
+        outcomes.add(job.spec.id, cancelledOutcome(job))
         return true
     }
 
     /**
-     * Whether a dependency of the job, direct or transitive, is cancelled. The job is then cancelled as well, from the
-     * moment that the dependency's cancellation was acknowledged and without a record of its own; the leader writes its
-     * outcome later.
+     * Returns whether a direct or transitive dependency of the job is cancelled. If so, the job is cancelled as well,
+     * from the moment the dependency's cancellation was acknowledged. No record of the job shows this until the leader
+     * writes its outcome later.
      */
     suspend fun isCancelledByDependency(
         job: JobRecord,
@@ -65,7 +68,7 @@
         while (true) {
             val state =
                 DependencyState.of(job, { records.readJob(it)?.value }) {
-                    if (it in neverAccepted) JobOutcome.DONE else outcomes.cached(it)?.end
+                    if (it in neverAccepted) JobOutcome.DONE else outcomes.getIfPresent(it)?.end
                 }
             when (state) {
                 DependencyState.Cancelled -> return true
@@ -75,6 +78,5 @@
         }
     }
 
-    /** The outcome of a cancelled job. */
-    fun cancelled(job: JobRecord) = OutcomeRecord(JobOutcome.CANCELLED, job.spec.tasks)
+    fun cancelledOutcome(job: JobRecord) = OutcomeRecord(JobOutcome.CANCELLED, job.spec.tasks)
 }
--- a/src/main/kotlin/umberslip/api/OutcomeCache.kt
+++ b/src/main/kotlin/umberslip/api/OutcomeCache.kt
@@ -8,7 +8,7 @@
 import umberslip.records.parseRecord
 import umberslip.store.KeyValueStore
 
-/** Outcomes of jobs, which never change, so that repeated requests need no read. Confined to the actors' thread. */
+/** Caches job outcomes, which never change, to save reads for repeated requests. Confined to the actors' thread. */
 internal class OutcomeCache(
     private val store: KeyValueStore,
 ) {
@@ -19,20 +19,20 @@
             .executor(Runnable::run)
             .build()
 
-    /** The job's outcome if it was read or written here lately; needs no request. */
-    fun cached(id: JobId): OutcomeRecord? = outcomes.getIfPresent(id)
+    /** Returns the job's outcome if it is cached. Sends no request to the key-value store. */
+    fun getIfPresent(id: JobId): OutcomeRecord? = outcomes.getIfPresent(id)
 
-    /** Adds an outcome that is final. */
+    /** Adds a final outcome. */
     fun add(
         id: JobId,
         outcome: OutcomeRecord,
     ) = outcomes.put(id, outcome)
 
     /**
-     * Reads an outcome from the key-value store, where the cache may not have it yet; null where none is written.
+     * Reads an outcome from the key-value store and caches it. Returns null if none is written.
      *
-     * @throws umberslip.records.MalformedRecordException where it is malformed
-     * @throws umberslip.http.ServiceException where it could not be read
+     * @throws umberslip.records.MalformedRecordException if it is malformed
+     * @throws umberslip.http.ServiceException if it could not be read
      */
     suspend fun read(id: JobId): OutcomeRecord? {
         val entry = store.lookUp(Keys.outcome(id)) ?: return null
@@ -40,7 +40,7 @@
     }
 
     private companion object {
-        /** Bounds the memory that the cache takes; what is not in it is read again. */
+        /** Bounds the memory of the cache. Evicted outcomes are read again. */
         const val MAX_OUTCOMES = 20_000L
     }
 }
--- a/src/main/kotlin/umberslip/api/SubmissionQueue.kt
+++ b/src/main/kotlin/umberslip/api/SubmissionQueue.kt
@@ -4,18 +4,18 @@
 import umberslip.core.JobId
 import umberslip.records.JobRecord
 
-/** What became of a submission that was to be written. */
+/** The result of writing a submission. */
 internal enum class SubmissionResult {
     CREATED,
 
-    /** The job was accepted before. */
-    KNOWN,
+    /** A record or an outcome of the job existed before. */
+    ALREADY_ACCEPTED,
 
-    /** Not written, or it is unknown whether; a retry shows which. */
+    /** Not written, or the outcome of the write is indeterminate. A retry by the user shows which. */
     UNCONFIRMED,
 }
 
-/** A submission on its way into the key-value store; [bytes] is the size of its record there. */
+/** A submission that waits to be written to the key-value store; [bytes] is the size of its record there. */
 internal class PendingSubmission(
     val record: JobRecord,
     val bytes: Int,
@@ -24,19 +24,19 @@
     val result = CompletableDeferred<SubmissionResult>()
 }
 
-/** Submissions that wait to be written, in order of arrival. Pure state of the [JobApi]. */
+/** A queue of submissions to be written, in order of arrival. Pure state of [JobApi]. */
 internal class SubmissionQueue(
-    /** The most puts of a transaction. */
+    /** The maximum number of writes in a transaction. */
     private val maxWrites: Int,
 ) {
     private val submissions = ArrayDeque<PendingSubmission>()
 
-    /** Whether no more submissions should be added for now. */
+    /** Whether further submissions should be refused for now. */
     val isFull: Boolean get() = submissions.size >= MAX_SUBMISSIONS
 
     fun add(submission: PendingSubmission) = submissions.addLast(submission)
 
-    /** Removes as many submissions as fit into one transaction; none if none waits. */
+    /** Removes and returns as many submissions as fit into one transaction, or none if the queue is empty. */
     fun nextBatch(): List<PendingSubmission> {
         val batch = ArrayList<PendingSubmission>()
         var bytes = 0
@@ -49,13 +49,13 @@
     }
 
     private companion object {
-        /** About as many as are written before their users give up. */
+        /** About the number that can be written before their users time out. */
         const val MAX_SUBMISSIONS = 100
 
-        /** Safely below the protocol's 64 KiB. */
+        /** Leaves a margin below the protocol's limit of 64 KiB. */
         const val MAX_TRANSACTION_BYTES = 50_000
 
-        /** The two preconditions of a submission. */
+        /** The number of bytes counted for the two preconditions of a submission. */
         const val PRECONDITION_BYTES = 150
     }
 }
--- a/src/main/kotlin/umberslip/api/SubmissionWriter.kt
+++ b/src/main/kotlin/umberslip/api/SubmissionWriter.kt
@@ -12,14 +12,14 @@
 import umberslip.store.Version
 import umberslip.store.Write
 
-/** Writes batches of submissions, each in one transaction. */
+/** Writes batches of submissions, each in one transaction if possible. */
 internal class SubmissionWriter(
     private val store: KeyValueStore,
-    private val writes: RateLimiter,
+    private val writeRateLimiter: RateLimiter,
     private val announce: () -> Unit,
     private val log: Logger,
 ) {
-    /** Creates the records of [batch] and completes all results. Jobs that were accepted before are left out. */
+    /** Creates the records of [batch] and completes all results. Jobs that were accepted before are skipped. */
     suspend fun write(batch: List<PendingSubmission>) {
         try {
             create(batch)
@@ -29,7 +29,7 @@
     }
 
     private suspend fun create(batch: List<PendingSubmission>) {
-        // Of submissions of the same job, only the first is written; the others stay unconfirmed.
+        // If a job was submitted several times, only the first submission is written; the others are unconfirmed.
         val distinct = batch.distinctBy { it.id }
         (batch - distinct.toSet()).forEach { it.result.complete(SubmissionResult.UNCONFIRMED) }
         createDistinct(distinct)
@@ -38,7 +38,7 @@
     private suspend fun createDistinct(submissions: List<PendingSubmission>) {
         var remaining = submissions
         while (remaining.isNotEmpty()) {
-            writes.take(remaining.size, urgent = false)
+            writeRateLimiter.take(remaining.size, urgent = false)
             when (val result = compareAndSwap(remaining)) {
                 is TransactionResult.Applied -> {
                     remaining.forEach { it.result.complete(SubmissionResult.CREATED) }
@@ -46,36 +46,43 @@
                     return
                 }
                 is TransactionResult.Rejected -> {
-                    rejected(remaining, result.why)
+                    onRejected(remaining, result.why)
                     return
                 }
                 is TransactionResult.PreconditionFailed -> {
-                    val (known, unknown) = remaining.partition { isKnown(it, result) }
-                    if (known.isEmpty()) return
-                    known.forEach { it.result.complete(SubmissionResult.KNOWN) }
-                    remaining = unknown
+                    val (alreadyAccepted, notYetAccepted) = remaining.partition { isAlreadyAccepted(it, result) }
+                    if (alreadyAccepted.isEmpty()) return
+                    alreadyAccepted.forEach { it.result.complete(SubmissionResult.ALREADY_ACCEPTED) }
+                    remaining = notYetAccepted
                 }
                 TransactionResult.LeaseExpired, null -> return
             }
         }
     }
 
-    /** What one submission of a transaction is rejected for does not hold for the others. */
-    private suspend fun rejected(
+    /**
+     * Logs the rejection and writes the submissions again in two halves. The rejection of one submission must not keep
+     * the others from being written.
+     */
+    private suspend fun onRejected(
         submissions: List<PendingSubmission>,
         reason: String,
     ) {
-        log.error("submissions rejected: jobs={} reason={}", submissions.joinToString { it.id.value }, reason)
+        log.error(
+            "submissions rejected by the key-value store: jobs={} reason={}",
+            submissions.joinToString { it.id.value },
+            reason,
+        )
         if (submissions.size == 1) return
         submissions.chunked((submissions.size + 1) / 2).forEach { createDistinct(it) }
     }
 
-    private fun isKnown(
+    private fun isAlreadyAccepted(
         submission: PendingSubmission,
         result: TransactionResult.PreconditionFailed,
     ): Boolean = Keys.job(submission.id) in result.failed || Keys.outcome(submission.id) in result.failed
 
-    /** Null where the request failed. */
+    /** Returns null if the request failed. */
     private suspend fun compareAndSwap(submissions: List<PendingSubmission>): TransactionResult? =
         try {
             store.compareAndSwap(
@@ -89,19 +96,19 @@
                 writes = submissions.map { Write.Put(Keys.job(it.id), it.record.toMap()) },
             )
         } catch (e: RateLimitedException) {
-            writes.lower()
-            notWritten(submissions, e)
+            writeRateLimiter.lower()
+            logNotWritten(submissions, e)
             null
         } catch (e: ServiceUnavailableException) {
-            notWritten(submissions, e)
+            logNotWritten(submissions, e)
             null
         } catch (e: NoResponseException) {
-            // Accepted or not: the user's retry shows which.
+            // The jobs may have been accepted; a retry by the user shows whether they were.
             log.info("outcome of submissions is indeterminate: jobs={} reason={}", submissions.size, e.message)
             null
         }
 
-    private fun notWritten(
+    private fun logNotWritten(
         submissions: List<PendingSubmission>,
         failure: ServiceUnavailableException,
     ) = log.debug("submissions not written: jobs={} reason={}", submissions.size, failure.message)
--- a/src/main/kotlin/umberslip/core/Clock.kt
+++ b/src/main/kotlin/umberslip/core/Clock.kt
@@ -2,8 +2,8 @@
 
 import kotlin.time.Duration
 
-/** The steady clock, as the time passed since some fixed moment of this process. */
+/** A monotonic clock. Its readings count from an arbitrary but fixed moment of this process. */
 fun interface Clock {
-    /** Never falls. */
+    /** Never decreases. */
     fun now(): Duration
 }
--- a/src/main/kotlin/umberslip/core/JobId.kt
+++ b/src/main/kotlin/umberslip/core/JobId.kt
@@ -8,7 +8,10 @@
     companion object {
         const val MAX_LENGTH = 100
 
-        /** Null for text that is no job id. Ids become part of keys, so only such as need no escaping are valid. */
+        /**
+         * Returns null if [text] is not a valid id. Ids become part of keys, so only characters that need no escaping
+         * are valid.
+         */
         fun parse(text: String): JobId? =
             if (text.length in 1..MAX_LENGTH && isAlphanumeric(text[0]) && text.all(::isAllowed)) {
                 JobId(text)
@@ -18,7 +21,7 @@
 
         private fun isAllowed(c: Char): Boolean = isAlphanumeric(c) || c in "._-"
 
-        // Checked for every task of every heartbeat, so no regular expression.
+        // Called for every task of every heartbeat, so it avoids regular expressions.
         private fun isAlphanumeric(c: Char): Boolean = c in 'a'..'z' || c in 'A'..'Z' || c in '0'..'9'
     }
 }
@@ -31,7 +34,7 @@
     override fun toString(): String = "${job.value}/$index"
 
     companion object {
-        /** Null for text that is not of the form `job/index`. */
+        /** Returns null if [text] is not of the form `job/index`. */
         fun parse(text: String): TaskId? {
             val slash = text.lastIndexOf('/')
             if (slash < 0) return null
--- a/src/main/kotlin/umberslip/core/JobSpec.kt
+++ b/src/main/kotlin/umberslip/core/JobSpec.kt
@@ -12,7 +12,7 @@
     DAEMON,
 }
 
-/** The priority of a job; in order, the highest first. */
+/** The priority of a job. The constants are ordered from the highest to the lowest priority. */
 enum class Priority {
     CRITICAL,
     HIGH,
@@ -20,10 +20,10 @@
     IDLE,
 }
 
-/** A job as its user described it. Amounts of resources are those of one task. */
+/** A job as described by its user. Resource amounts are per task. */
 data class JobSpec(
     val id: JobId,
-    /** The class of jobs whose service-level objectives apply. */
+    /** The job class, which determines the service-level objectives that apply. */
     val jobClass: String,
     /** The team whose quota the job counts against. */
     val team: String,
@@ -40,23 +40,23 @@
     val instanceTypes: List<String>?,
     /** The only allowed zone; null for any. */
     val zone: String?,
-    /** All tasks must be in the same zone, whichever that is. */
+    /** Whether all tasks must run in the same zone, which may be any allowed one. */
     val oneZone: Boolean,
-    /** At most half of the tasks, rounded up, may be in one zone. */
+    /** Whether at most half of the tasks, rounded up, may run in any one zone. */
     val spread: Boolean,
     /** Whether the job may use spot instances. */
     val spot: Boolean,
     /** The user's estimate of a task's run time; 0 for daemons. */
     val expectedSeconds: Double,
-    /** The progress after which a task saves a checkpoint; 0 for tasks that save none. */
+    /** The interval between a task's checkpoints, in seconds of progress; 0 if its tasks save none. */
     val checkpointIntervalSeconds: Double,
     /** How long a task needs to save a checkpoint when it is stopped. */
     val checkpointSaveSeconds: Double,
-    /** When the job should be complete, counted from its submission; null for no deadline. */
+    /** The deadline for completing the job, in seconds after its submission; null if it has none. */
     val deadlineSeconds: Double?,
-    /** Jobs that have to be done before any task of this one starts. */
+    /** Jobs that must be done before any task of this job starts. */
     val dependencies: List<JobId> = emptyList(),
 ) {
-    /** How many of the tasks may be in one zone. */
+    /** The maximum number of tasks in one zone. */
     val maxPerZone: Int get() = if (spread) (tasks + 1) / 2 else Int.MAX_VALUE
 }
--- a/src/main/kotlin/umberslip/core/MachineName.kt
+++ b/src/main/kotlin/umberslip/core/MachineName.kt
@@ -1,6 +1,6 @@
 package umberslip.core
 
-/** The name that the cloud gave to a machine; never used again for another one. */
+/** The name that the cloud assigned to a machine. It is never reused for another machine. */
 @JvmInline
 value class MachineName(
     val value: String,
--- a/src/main/kotlin/umberslip/core/Resources.kt
+++ b/src/main/kotlin/umberslip/core/Resources.kt
@@ -1,12 +1,12 @@
 package umberslip.core
 
-/** Amounts of processors, accelerators and memory: what a task requests, or what a machine offers. */
+/** Amounts of processors, accelerators and memory that a task requests or a machine offers. */
 data class Resources(
     val cpus: Double,
     val gpus: Double,
     val memoryGb: Double,
 ) {
-    /** Whether [other] fits into these resources. */
+    /** Returns whether [other] fits into these resources. */
     fun covers(other: Resources): Boolean =
         cpus + EPSILON >= other.cpus &&
             gpus + EPSILON >= other.gpus &&
@@ -16,10 +16,10 @@
 
     operator fun minus(other: Resources) = Resources(cpus - other.cpus, gpus - other.gpus, memoryGb - other.memoryGb)
 
-    /** Whether nothing is left for any task. */
+    /** Whether no task fits: memory is used up, or both processors and accelerators are. */
     val isExhausted: Boolean get() = cpus < EPSILON && gpus < EPSILON || memoryGb < EPSILON
 
-    /** How many times [task] fits. */
+    /** Returns how many tasks fit that request [task] each. */
     fun countOf(task: Resources): Int {
         var count = Double.MAX_VALUE
         if (task.cpus > 0) count = minOf(count, cpus / task.cpus)
@@ -29,7 +29,7 @@
     }
 
     companion object {
-        /** The tolerance for the rounding of sums and differences. */
+        /** The tolerance for rounding errors of sums and differences. */
         private const val EPSILON = 1e-6
         val NONE = Resources(0.0, 0.0, 0.0)
     }
--- a/src/main/kotlin/umberslip/core/Term.kt
+++ b/src/main/kotlin/umberslip/core/Term.kt
@@ -1,6 +1,6 @@
 package umberslip.core
 
-/** A leader's term: rises with every election, for ever. Workers know it as the fencing token. */
+/** A leader's term. It increases with every election and is never reset. Workers receive it as the fencing token. */
 @JvmInline
 value class Term(
     val value: Long,
@@ -11,7 +11,7 @@
     fun next(): Term = Term(value + 1)
 
     companion object {
-        /** The term of the first leader ever. */
+        /** The term of the first leader of a cluster. */
         val FIRST = Term(1)
     }
 }
--- a/src/test/kotlin/umberslip/api/FeasibilityTest.kt
+++ b/src/test/kotlin/umberslip/api/FeasibilityTest.kt
@@ -25,8 +25,8 @@
             tasks = 10,
         )
 
-    private fun objection(spec: JobSpec) =
-        Feasibility.objection(
+    private fun infeasibilityReason(spec: JobSpec) =
+        Feasibility.infeasibilityReason(
             spec,
             teams,
             ClusterSize.SMALL,
@@ -34,17 +34,17 @@
         )
 
     @Test
-    fun `a job that can run has no objection, and one that never can has`() {
-        assertEquals(null, objection(job))
-        assertEquals("unknown team", objection(job.copy(team = "red")))
-        assertEquals("needs more than the team's limit", objection(job.copy(shape = Shape.GANG)))
-        assertEquals(null, objection(job.copy(shape = Shape.GANG, team = "green")))
-        assertEquals("needs more than the team's limit", objection(job.copy(shape = Shape.DAEMON, tasks = 7)))
+    fun `a job is infeasible only if it can never run`() {
+        assertEquals(null, infeasibilityReason(job))
+        assertEquals("unknown team", infeasibilityReason(job.copy(team = "red")))
+        assertEquals("needs more than the team's limit", infeasibilityReason(job.copy(shape = Shape.GANG)))
+        assertEquals(null, infeasibilityReason(job.copy(shape = Shape.GANG, team = "green")))
+        assertEquals("needs more than the team's limit", infeasibilityReason(job.copy(shape = Shape.DAEMON, tasks = 7)))
         assertEquals(
             "a task fits no allowed machine type",
-            objection(job.copy(instanceTypes = listOf("small"), memoryGb = 17.0)),
+            infeasibilityReason(job.copy(instanceTypes = listOf("small"), memoryGb = 17.0)),
         )
-        assertEquals("a task fits no allowed machine type", objection(job.copy(gpus = 1.0)))
-        assertEquals("no such zone", objection(job.copy(zone = "north")))
+        assertEquals("a task fits no allowed machine type", infeasibilityReason(job.copy(gpus = 1.0)))
+        assertEquals("no such zone", infeasibilityReason(job.copy(zone = "north")))
     }
 }
--- a/src/test/kotlin/umberslip/api/JobApiTest.kt
+++ b/src/test/kotlin/umberslip/api/JobApiTest.kt
@@ -18,7 +18,7 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** What users get for odd requests, from the actual controllers. */
+/** Tests the responses of actual controllers to invalid, repeated, concurrent and failing requests of users. */
 class JobApiTest {
     private val cluster =
         SimulatedCluster(1, FaultRates(0.0, 0.0), ClusterSize(3), Fixtures::settingsJson).also { cluster ->
@@ -79,9 +79,9 @@
             assertEquals(400, submit(good, mapOf(field to invalid)).status, "$field $invalid")
         }
         assertEquals(400, cluster.ask(0, "POST", "/api/jobs", listOf(1)).status)
-        assertEquals(404 to null, status(good), "nothing was accepted")
+        assertEquals(404 to null, status(good), "no submission was accepted")
         assertEquals(422, submit(good.copy(memoryGb = 999.0)).status)
-        assertEquals(422, submit(good.copy(memoryGb = 999.0), at = 1).status, "nor at a retry")
+        assertEquals(422, submit(good.copy(memoryGb = 999.0), at = 1).status, "a retry is refused as well")
         assertEquals(422, submit(good.copy(team = "nobody")).status)
         assertEquals(404 to null, status(good))
         assertEquals(404 to null, cancel(good))
@@ -94,7 +94,7 @@
             mapOf("awaits" to listOf("run-777777")),
         )
         ) {
-            assertEquals(200, submit(good, change, at = 2).status, "accepted before, whatever else is sent")
+            assertEquals(200, submit(good, change, at = 2).status, "accepted before, so the changed fields are ignored")
         }
         cluster.run(60.seconds)
         assertEquals(200 to "done", status(good, 1))
@@ -103,7 +103,7 @@
     }
 
     @Test
-    fun `what a job may depend on`() {
+    fun `a job may depend only on accepted jobs that can be done, and is cancelled with them`() {
         val first = job(1)
         val service = job(2) { it.copy(shape = Shape.DAEMON) }
         val other = job(3)
@@ -119,12 +119,12 @@
         assertEquals(
             400,
             submit(other, mapOf("awaits" to List(500) { "run-%06d".format(it) })).status,
-            "more than fits into a record",
+            "the record would be too large",
         )
         assertEquals(404 to null, status(other))
         assertEquals(201, dependingOn(first.id.value, first.id.value))
-        assertEquals(200, dependingOn("run-555555"), "accepted before, whatever it depends on")
-        // Cancelled with the first, at every controller at once, and so is what is submitted later.
+        assertEquals(200, dependingOn("run-555555"), "accepted before, so the changed dependency is ignored")
+        // Cancelling the first job cancels its dependents at every controller at once, also those submitted later.
         assertEquals(200 to "aborted", cancel(first, 2))
         for (i in 0..2) assertEquals(200 to "aborted", status(other, i))
         val late = job(4) { it.copy(dependencies = listOf(other.id)) }
@@ -132,14 +132,14 @@
         assertEquals(
             201 to "aborted",
             accepted.status to (accepted.body as Map<*, *>)["status"],
-            "accepted, and never queued",
+            "accepted, but cancelled without being queued",
         )
         for (i in 0..2) assertEquals(200 to "aborted", status(late, i))
         assertEquals(200 to "aborted", cancel(late))
         cluster.run(20.seconds)
-        for (i in 0..2) assertEquals(200 to "aborted", status(other, i), "and stays so once its outcome is written")
+        for (i in 0..2) assertEquals(200 to "aborted", status(other, i), "still cancelled after its outcome is written")
         assertEquals("aborted", (cluster.store.get("end/${late.id.value}")?.data as Map<*, *>)["status"])
-        // A dependency that is done does not matter, and a cancellation after that changes nothing.
+        // A dependency that is done allows the job to run, even after an attempt to cancel the dependency.
         val done = job(5)
         submit(done)
         cluster.run(60.seconds)
@@ -151,7 +151,7 @@
     }
 
     @Test
-    fun `during an outage of the key-value store every request gets 503 with a time to retry`() {
+    fun `during an outage of the key-value store every request gets 503 with Retry-After`() {
         val first = job(1)
         submit(first)
         cluster.store.out = true
@@ -170,15 +170,15 @@
 
     @Test
     fun `a status read before the controller paused is not returned afterwards`() {
-        var asked = 0
-        for (readUnderWay in 0..24) {
-            val spec = job(40 + readUnderWay) { it.copy(expectedSeconds = 300.0) }
+        var openRequests = 0
+        for (elapsedMs in 0..24) {
+            val spec = job(40 + elapsedMs) { it.copy(expectedSeconds = 300.0) }
             assertEquals(201, submit(spec).status)
             cluster.run(1.seconds)
             val pending = cluster.send(0, "GET", "/api/jobs/${spec.id.value}")
-            cluster.run(readUnderWay.milliseconds)
+            cluster.run(elapsedMs.milliseconds)
             if (pending.isCompleted) continue
-            asked++
+            openRequests++
             cluster.freeze(0, 30.seconds)
             assertEquals(200 to "aborted", cancel(spec, at = 1))
             cluster.run(40.seconds)
@@ -188,16 +188,16 @@
                 "${response.status} ${response.body}",
             )
         }
-        assertTrue(asked > 3, "only $asked requests were under way")
+        assertTrue(openRequests > 3, "only $openRequests requests were open at the pause")
     }
 
     /**
-     * An outcome that cannot be read: the request about its job was never answered, and its place among the 400 open
-     * ones was never free again, so that this controller refused everything with `too many requests at once` in the
-     * end.
+     * Guards against requests that stay open. A request about a job with a malformed outcome was never answered and
+     * kept counting as one of the 400 open requests, so the controller eventually refused every request with `too many
+     * requests at once`.
      */
     @Test
-    fun `a malformed outcome is answered with 503, and takes no place for ever`() {
+    fun `a request about a job with a malformed outcome gets 503 and does not stay open`() {
         val spec = job(1)
         val malformed = mapOf("status" to "unknown", "pieces" to "many")
         cluster.store.compareAndSwap(emptyList(), listOf(Write.Put(Keys.outcome(spec.id), malformed)))
@@ -208,13 +208,13 @@
             assertEquals(503, pending.getCompleted().status)
         }
         assertEquals(503, cancel(spec).first)
-        assertEquals(503, submit(spec).status, "neither absent nor known")
+        assertEquals(503, submit(spec).status, "it is unknown whether the job was accepted before")
         assertEquals(503, submit(job(2), mapOf("awaits" to listOf(spec.id.value))).status)
         assertEquals(201, submit(job(3)).status)
-        assertEquals(malformed, cluster.store.get(Keys.outcome(spec.id))?.data, "left as it is")
+        assertEquals(malformed, cluster.store.get(Keys.outcome(spec.id))?.data, "the outcome is not overwritten")
     }
 
-    /** Of a status request that was unconfirmed and late, both reasons counted. */
+    /** Guards against counting a refused status request twice, as unconfirmed and as late. */
     @Test
     fun `a request that is refused for two reasons counts once`() {
         val leader = checkNotNull(cluster.leader())
--- a/src/test/kotlin/umberslip/api/SubmissionWriterTest.kt
+++ b/src/test/kotlin/umberslip/api/SubmissionWriterTest.kt
@@ -25,7 +25,7 @@
             PendingSubmission(JobRecord(Fixtures.job(Random(number), number), Instant.EPOCH, cancelled = false), 100)
         }
 
-    /** Rejects every transaction with the record of a certain job. */
+    /** Rejects every transaction that writes [rejectedKey]. */
     private class RejectingStore(
         private val rejectedKey: String,
     ) : KeyValueStore by UnusedKeyValueStore {
@@ -41,13 +41,13 @@
     }
 
     @Test
-    fun `one submission that the store rejects keeps those beside it from being accepted`() =
+    fun `a submission that the store rejects does not keep others of its batch from being created`() =
         runBlocking {
             val rejected = batch[7]
             val store = RejectingStore(Keys.job(rejected.id))
             val log = LoggerFactory.getLogger("umberslip.api")
-            val writes = RateLimiter(10_000.0, Clock { Duration.ZERO })
-            SubmissionWriter(store, writes, announce = {}, log).write(batch)
+            val writeRateLimiter = RateLimiter(10_000.0, Clock { Duration.ZERO })
+            SubmissionWriter(store, writeRateLimiter, announce = {}, log).write(batch)
             for (submission in batch) {
                 val expected = if (submission == rejected) SubmissionResult.UNCONFIRMED else SubmissionResult.CREATED
                 assertEquals(expected, submission.result.await(), submission.id.value)
