--- a/src/main/kotlin/umberslip/daemon/Controller.kt
+++ b/src/main/kotlin/umberslip/daemon/Controller.kt
@@ -37,8 +37,8 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * A controller without its sockets: its actors, wired to one another. All of it runs on one thread, that of [scope].
- * What it needs from outside (key-value store, cloud, clocks, other controllers) is handed in.
+ * A controller without its sockets: creates the actors and connects them to one another. Everything runs on the single
+ * thread of [scope]. External dependencies (key-value store, cloud, clocks, other controllers) are passed in.
  */
 class Controller(
     private val scope: CoroutineScope,
@@ -77,23 +77,32 @@
             peerHealth,
             this,
         )
-    private val renewal = FollowerLeaseRenewal(settings.sockets)
-    private val renewalPublisher = FollowerRenewalPublisher(scope, settings, store, renewal)
-    private val heartbeats =
-        HeartbeatReceiver(scope, settings, leaderLease, leader, recordWatcher, renewal, isReachable, ::isServedByStore)
-    private val routes = Routes(jobApi, heartbeats, ::ready, scrapeMetrics)
+    private val leaseRenewal = FollowerLeaseRenewal(settings.sockets)
+    private val renewalPublisher = FollowerRenewalPublisher(scope, settings, store, leaseRenewal)
+    private val heartbeatReceiver =
+        HeartbeatReceiver(
+            scope,
+            settings,
+            leaderLease,
+            leader,
+            recordWatcher,
+            leaseRenewal,
+            isReachable,
+            ::isServedByStore,
+        )
+    private val routes = Routes(jobApi, heartbeatReceiver, ::isReady, scrapeMetrics)
 
     private fun createJobApi() =
         JobApi(
             scope,
             settings,
             store,
-            writeRateLimiter(SUBMISSIONS_SHARE),
+            writeRateLimiter(SUBMISSION_SHARE),
             recordWatcher,
             clock,
             wallClock,
             ::announce,
-            ::ready,
+            ::isReady,
             metrics,
         )
 
@@ -127,23 +136,23 @@
         renewalPublisher.start()
     }
 
-    /** Answers a request of a user, a worker or a health check, now or later, exactly once. */
+    /** Handles a request of a user, a worker or a health check. [respond] is called exactly once, at once or later. */
     fun handle(
         request: Request,
         respond: (Response) -> Unit,
     ) = routes.handle(request, respond)
 
-    /** Whether the key-value store has served this controller lately. */
-    fun isServedByStore(): Boolean = readiness.served(recordWatcher.confirmedAt, clock.now())
+    /** Returns whether the key-value store has served this controller recently. */
+    fun isServedByStore(): Boolean = readiness.isServed(recordWatcher.confirmedAt, clock.now())
 
-    private fun ready(): Boolean = readiness.ready(recordWatcher.confirmedAt, clock.now(), peerHealth())
+    private fun isReady(): Boolean = readiness.isReady(recordWatcher.confirmedAt, clock.now(), peerHealth())
 
-    /** Another controller wrote something that the leader should see soon. */
+    /** Requests a read of the records after a write that the leader should see soon. */
     fun refreshRecords() {
         recordWatcher.trySend(RecordWatcherMessage.Refresh)
     }
 
-    /** This controller wrote something that the leader should see soon. */
+    /** Requests a read of the records here and at the peers, so that the leader soon sees what was written here. */
     private fun announce() {
         refreshRecords()
         announceToPeers()
@@ -172,16 +181,16 @@
 
     private fun leaderChanged(event: RecordEvent.LeaderChanged) {
         val record = event.leader?.value
-        heartbeats.leaderMember = record?.member
-        // Compared by the term, since a leader that fences its late writes writes its own record anew.
+        heartbeatReceiver.leaderMember = record?.member
+        // Compares the terms, since a leader rewrites its own record to fence its late writes.
         if (leaderLease.isLeader && record?.term != leaderLease.term) {
-            leaderLease.lost("the record names ${record?.member ?: "nobody"}")
+            leaderLease.lost("the leader's record names ${record?.member ?: "no member"}")
         }
     }
 
     private companion object {
-        /** The shares of the store's write rate that this controller's submissions and its leader actor may use. */
-        const val SUBMISSIONS_SHARE = 0.5
+        /** The shares of the store's write rate limit for this controller's submissions and for its leader actor. */
+        const val SUBMISSION_SHARE = 0.5
         const val LEADER_SHARE = 0.7
     }
 }
--- a/src/main/kotlin/umberslip/daemon/Daemon.kt
+++ b/src/main/kotlin/umberslip/daemon/Daemon.kt
@@ -26,8 +26,8 @@
 import kotlin.time.TimeSource
 
 /**
- * One controller as a process: its sockets, its clocks and its metrics. Everything runs on one thread, that of the
- * event loop; nothing may block there.
+ * The process of a controller: its sockets, clocks and metrics. Everything runs on the single thread of the event loop,
+ * which must not be blocked.
  */
 class Daemon(
     private val settings: Settings,
@@ -41,10 +41,10 @@
                 CoroutineExceptionHandler { _, e -> log.error("unexpected failure", e) },
         )
     private val metrics = PrometheusMeterRegistry(PrometheusConfig.DEFAULT)
-    private val origin = TimeSource.Monotonic.markNow()
-    private val clock = Clock { origin.elapsedNow() }
-    private val store = HttpKeyValueStore(HttpClient(group, settings.storeAddress, MAX_BODY), storeRateLimiter())
-    private val cloud = HttpCloud(HttpClient(group, settings.cloudAddress, MAX_BODY), cloudRateLimiter())
+    private val processStart = TimeSource.Monotonic.markNow()
+    private val clock = Clock { processStart.elapsedNow() }
+    private val store = HttpKeyValueStore(HttpClient(group, settings.storeAddress, MAX_BODY_BYTES), storeRateLimiter())
+    private val cloud = HttpCloud(HttpClient(group, settings.cloudAddress, MAX_BODY_BYTES), cloudRateLimiter())
     private val peers: Peers =
         Peers(
             scope,
@@ -79,14 +79,14 @@
     private fun cloudRateLimiter() = RateLimiter(settings.cloudRps * CLOUD_SHARE, clock)
 
     /**
-     * Serves until the process ends; blocks the calling thread.
+     * Runs the controller until the process ends. Blocks the calling thread.
      *
-     * @throws ListenException if an address of the settings cannot be listened on
+     * @throws ListenException if the controller cannot listen on an address from the settings
      */
     fun run() {
-        val ownSockets = settings.sockets / OWN_SHARE + OWN_SOCKETS
-        val httpServer = HttpServer(group, settings.sockets - ownSockets, controller::handle)
-        val server = listen("bind", settings.bind, httpServer::bind)
+        val reservedSockets = settings.sockets / RESERVED_SOCKETS_DIVISOR + MIN_RESERVED_SOCKETS
+        val httpServer = HttpServer(group, settings.sockets - reservedSockets, controller::handle)
+        val serverChannel = listen("bind", settings.bind, httpServer::bind)
         listen("peer_listen", settings.peerListen, peers::bind)
         group.next().execute {
             peers.start()
@@ -98,7 +98,7 @@
             settings.area,
             settings.bind,
         )
-        server.closeFuture().sync()
+        serverChannel.closeFuture().sync()
     }
 
     private fun listen(
@@ -114,15 +114,15 @@
 
     private companion object {
         /** The largest response that is read from the key-value store or the cloud, in bytes. */
-        const val MAX_BODY = 8 * 1024 * 1024
+        const val MAX_BODY_BYTES = 8 * 1024 * 1024
 
-        /** Sockets reserved for calls of its own: a slow key-value store holds many open at once. */
-        const val OWN_SOCKETS = 20
+        /** Sockets reserved for outgoing requests: many of them are open at once while the key-value store is slow. */
+        const val MIN_RESERVED_SOCKETS = 20
 
-        /** One in so many of all sockets is reserved besides. */
-        const val OWN_SHARE = 10
+        /** In addition, the total number of sockets divided by this is reserved. */
+        const val RESERVED_SOCKETS_DIVISOR = 10
 
-        /** The share of the cloud's rate limit that is used; the rest is left for drift between its clock and ours. */
+        /** The share of the cloud's rate limit that is used. The rest allows for clock drift against the cloud. */
         const val CLOUD_SHARE = 0.8
     }
 }
--- a/src/main/kotlin/umberslip/daemon/FollowerRenewalPublisher.kt
+++ b/src/main/kotlin/umberslip/daemon/FollowerRenewalPublisher.kt
@@ -19,20 +19,20 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Writes down, for the leader, which machines this follower has renewed the leases of: they are alive, though the
- * leader does not reach them. The record is a hint: one that is lost or written late does no harm.
+ * Writes a record, for the leader, of the machines whose leases this follower has renewed: they are alive, although
+ * the leader does not hear from them. The record is only a hint, so losing it or writing it late does no harm.
  */
 class FollowerRenewalPublisher(
     private val scope: CoroutineScope,
     private val settings: Settings,
     private val store: KeyValueStore,
-    private val renewal: FollowerLeaseRenewal,
+    private val leaseRenewal: FollowerLeaseRenewal,
 ) {
     private val log = LoggerFactory.getLogger("umberslip.daemon")
     private val key = Keys.renewedByFollower(settings.member)
 
-    /** The version of the record that was written last; null where it has to be read first. */
-    private var version: Version? = null
+    /** The version of the record as last written; null if it must be read before the next write. */
+    private var writtenVersion: Version? = null
 
     fun start(): Job =
         scope.launchLoop("follower renewals", log) {
@@ -41,27 +41,27 @@
         }
 
     private suspend fun publish() {
-        val machineNames = renewal.takeRenewed(settings.storeLimits.valueBytes)
+        val machineNames = leaseRenewal.takeRenewed(settings.storeLimits.valueBytes)
         if (machineNames.isEmpty()) return
         try {
             write(MachineSetRecord(machineNames))
         } catch (e: ServiceUnavailableException) {
             log.debug("follower renewals not published: reason={}", e.message)
         } catch (e: NoResponseException) {
-            log.debug("follower renewals perhaps not published: reason={}", e.message)
+            log.debug("outcome of publishing follower renewals is indeterminate: reason={}", e.message)
         }
     }
 
     private suspend fun write(record: MachineSetRecord) {
-        val known = version ?: store.get(key)?.version ?: Version.NONE
-        version = null
+        val expectedVersion = writtenVersion ?: store.get(key)?.version ?: Version.NONE
+        writtenVersion = null
         val result =
-            store.compareAndSwap(listOf(Precondition(key, known)), listOf(Write.Put(key, record.toMap())))
-        if (result is TransactionResult.Applied) version = result.version
+            store.compareAndSwap(listOf(Precondition(key, expectedVersion)), listOf(Write.Put(key, record.toMap())))
+        if (result is TransactionResult.Applied) writtenVersion = result.version
     }
 
     private companion object {
-        /** Well within a lease, so that the leader hears of a machine before it takes it for lost. */
+        /** Well within a lease, so the leader learns that a machine is alive before it considers the machine lost. */
         val PUBLISH_INTERVAL = 3.seconds
     }
 }
--- a/src/main/kotlin/umberslip/daemon/HeartbeatReceiver.kt
+++ b/src/main/kotlin/umberslip/daemon/HeartbeatReceiver.kt
@@ -16,8 +16,8 @@
 import umberslip.settings.Settings
 
 /**
- * Takes in the workers' heartbeats. The leader answers them; a follower sends the worker to the leader, or renews its
- * lease on the leader's behalf where the leader cannot be reached. Runs on the actors' thread.
+ * Receives the workers' heartbeats. The leader answers them. A follower redirects the worker to the leader or, if the
+ * leader cannot be reached, renews the worker's lease on the leader's behalf. Runs on the actors' thread.
  */
 class HeartbeatReceiver(
     private val scope: CoroutineScope,
@@ -25,21 +25,21 @@
     private val leaderLease: LeaderLease,
     private val leader: Leader,
     private val recordWatcher: RecordWatcher,
-    private val renewal: FollowerLeaseRenewal,
+    private val leaseRenewal: FollowerLeaseRenewal,
     private val isReachable: (String) -> Boolean,
     private val isServedByStore: () -> Boolean,
 ) {
     private val log = LoggerFactory.getLogger("umberslip.daemon")
 
-    /** The member that leads, as the records last showed. */
+    /** The member that leads according to the records last read. */
     var leaderMember: String? = null
 
     private var renewalsInFlight = 0
 
     /** Machines whose malformed heartbeats have been logged. */
-    private val malformedSenders = HashSet<String>()
+    private val loggedMachines = HashSet<String>()
 
-    /** @throws MalformedMessageException if the body is no heartbeat */
+    /** @throws MalformedMessageException if the body is not a valid heartbeat */
     fun receive(
         request: Request,
         respond: (Response) -> Unit,
@@ -49,14 +49,15 @@
             if (!accepted) respond(Routes.MAILBOX_FULL)
             return
         }
-        val other = leaderMember?.takeIf { it != settings.member }
-        if (other != null && isReachable(other)) {
-            respond(Response(MISDIRECTED_REQUEST, mapOf(LEADER_FIELD to other)))
+        val otherLeader = leaderMember?.takeIf { it != settings.member }
+        if (otherLeader != null && isReachable(otherLeader)) {
+            respond(Response(MISDIRECTED_REQUEST, mapOf(LEADER_FIELD to otherLeader)))
             return
         }
-        // Sent to a controller that cannot be reached, a worker would lose seconds of its lease there. Here its lease
-        // is renewed while the record stands; otherwise it asks the other controllers. The record may be that of this
-        // member's former process: after all processes have ended, every second of a lease counts.
+        // Redirecting a worker to an unreachable controller would cost it seconds of its lease. Its lease is renewed
+        // here instead while the leader's record exists; otherwise the worker asks the other controllers. The record
+        // may be that of this member's previous process: after all processes have ended, every second of a lease
+        // counts.
         if (leaderMember == null || renewalsInFlight >= settings.sockets) {
             respond(Response.MISDIRECTED)
             return
@@ -68,7 +69,7 @@
         heartbeat: Heartbeat,
         respond: (Response) -> Unit,
     ) {
-        if (!isServedByStore() || !renewal.isNew(heartbeat)) {
+        if (!isServedByStore() || !leaseRenewal.isNew(heartbeat)) {
             respond(Response.MISDIRECTED)
             return
         }
@@ -93,7 +94,7 @@
             throw e
         }
 
-    /** Logged once for each machine, not for each heartbeat. */
+    /** Logs malformed heartbeats once per machine, not once per heartbeat. */
     private fun logMalformed(
         request: Request,
         cause: MalformedMessageException,
@@ -104,7 +105,7 @@
             } catch (_: MalformedMessageException) {
                 null
             }
-        if (malformedSenders.size < MAX_LOGGED_SENDERS && malformedSenders.add(machineName.orEmpty())) {
+        if (loggedMachines.size < MAX_LOGGED_MACHINES && loggedMachines.add(machineName.orEmpty())) {
             log.info("malformed heartbeat: machine={} reason={}", machineName, cause.message)
         }
     }
@@ -113,13 +114,13 @@
         const val OK = 200
         const val MISDIRECTED_REQUEST = 421
 
-        /** The response's field that names the controller to report to. */
+        /** The response field that names the controller to send heartbeats to. */
         const val LEADER_FIELD = "dispatcher"
 
-        /** The heartbeat's field that names its machine. */
+        /** The heartbeat field that names the machine. */
         const val MACHINE_FIELD = "host"
 
-        /** Bounds the memory that is spent on remembering whose malformed heartbeats were logged. */
-        const val MAX_LOGGED_SENDERS = 2000
+        /** Bounds the memory used to remember the machines whose malformed heartbeats were logged. */
+        const val MAX_LOGGED_MACHINES = 2000
     }
 }
--- a/src/main/kotlin/umberslip/daemon/ListenException.kt
+++ b/src/main/kotlin/umberslip/daemon/ListenException.kt
@@ -2,7 +2,7 @@
 
 import java.net.InetSocketAddress
 
-/** A controller cannot listen on an address of its settings; the message names the setting, the address and why. */
+/** A controller cannot listen on an address from its settings. The message names the setting, address and cause. */
 class ListenException(
     setting: String,
     address: InetSocketAddress,
--- a/src/main/kotlin/umberslip/daemon/Readiness.kt
+++ b/src/main/kotlin/umberslip/daemon/Readiness.kt
@@ -5,29 +5,32 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * Whether users are well served by this controller. One that the key-value store does not serve turns unready while the
- * store may serve others. When the store is unavailable to all, nobody gains by being sent elsewhere, so every
- * controller stays ready and goes on answering how jobs ended. Pure.
+ * Decides whether users should be routed to this controller. A controller that the key-value store does not serve is
+ * unready while the store may serve other controllers. If the store serves none of them, routing users elsewhere gains
+ * nothing, so every controller stays ready and continues to report the outcomes of jobs. Pure.
  */
 class Readiness(
-    /** Whether there are no other controllers. */
+    /** Whether the cluster has no other controllers. */
     private val isOnlyMember: Boolean,
 ) {
-    /** Whether the records were read lately. */
-    fun served(
+    /** Returns whether the records have been read recently, so the key-value store serves this controller. */
+    fun isServed(
         readAt: Duration?,
         now: Duration,
     ): Boolean = readAt != null && now - readAt < MAX_READ_AGE
 
-    /** A controller that reaches no other one rather is cut off itself, so it is not ready. */
-    fun ready(
+    /**
+     * Returns whether users should be routed here. A controller that reaches no other one is not ready, since it is
+     * probably partitioned itself.
+     */
+    fun isReady(
         readAt: Duration?,
         now: Duration,
         peerHealth: PeerHealth,
-    ): Boolean = served(readAt, now) || (readAt != null && (isOnlyMember || peerHealth == PeerHealth.UNSERVED))
+    ): Boolean = isServed(readAt, now) || (readAt != null && (isOnlyMember || peerHealth == PeerHealth.UNSERVED))
 
     private companion object {
-        /** Reads are at most some hundred milliseconds apart while they succeed. */
+        /** Successful reads are at most a few hundred milliseconds apart. */
         val MAX_READ_AGE = 2500.milliseconds
     }
 }
--- a/src/main/kotlin/umberslip/daemon/Routes.kt
+++ b/src/main/kotlin/umberslip/daemon/Routes.kt
@@ -7,37 +7,38 @@
 import umberslip.http.Response
 import umberslip.records.JobSpecCodec
 
-/** The controller's HTTP interface for users, workers, health checks and metrics: which request goes where. */
+/** Routes HTTP requests for the users' API, heartbeats, health checks and metrics to their handlers. */
 class Routes(
     private val jobApi: JobApi,
-    private val heartbeats: HeartbeatReceiver,
+    private val heartbeatReceiver: HeartbeatReceiver,
     private val isReady: () -> Boolean,
     private val scrapeMetrics: () -> String,
 ) {
-    /** Answers a request, now or later, exactly once. */
+    /** Handles a request. [respond] is called exactly once, at once or later. */
     fun handle(
         request: Request,
         respond: (Response) -> Unit,
     ) {
         val path = request.path
         when {
-            path == READY -> allow("GET", request, respond) { respond(readiness()) }
-            path == METRICS -> allow("GET", request, respond) { respond(Response(OK, null, plain = scrapeMetrics())) }
-            path == HEARTBEAT -> allow("POST", request, respond) { heartbeats.receive(request, respond) }
-            path == JOBS -> allow("POST", request, respond) { submit(request, respond) }
+            path == READY -> requireMethod("GET", request, respond) { respond(readinessResponse()) }
+            path == METRICS ->
+                requireMethod("GET", request, respond) { respond(Response(OK, null, plainText = scrapeMetrics())) }
+            path == HEARTBEAT -> requireMethod("POST", request, respond) { heartbeatReceiver.receive(request, respond) }
+            path == JOBS -> requireMethod("POST", request, respond) { submit(request, respond) }
             path.startsWith(JOB) && path.endsWith(CANCEL) ->
-                allow("POST", request, respond) {
+                requireMethod("POST", request, respond) {
                     withJobId(path.removeSuffix(CANCEL), respond) { send(JobApiMessage.Cancel(it, respond), respond) }
                 }
             path.startsWith(JOB) ->
-                allow("GET", request, respond) {
+                requireMethod("GET", request, respond) {
                     withJobId(path, respond) { send(JobApiMessage.Status(it, respond), respond) }
                 }
             else -> respond(Response.error(NOT_FOUND, "no such path"))
         }
     }
 
-    private fun readiness(): Response =
+    private fun readinessResponse(): Response =
         if (isReady()) {
             Response(OK, mapOf("ready" to true))
         } else {
@@ -56,7 +57,7 @@
         if (!jobApi.trySend(message)) respond(MAILBOX_FULL)
     }
 
-    private fun allow(
+    private fun requireMethod(
         method: String,
         request: Request,
         respond: (Response) -> Unit,
@@ -75,10 +76,10 @@
     }
 
     companion object {
-        /** The error of a request that did not fit into an actor's mailbox. */
+        /** The error text for a request that did not fit into an actor's mailbox. */
         const val TOO_BUSY = "too busy"
 
-        /** The answer to a request that did not fit into an actor's mailbox. */
+        /** The response to a request that did not fit into an actor's mailbox. */
         val MAILBOX_FULL = Response.retryAfter(2, TOO_BUSY)
 
         private const val OK = 200
--- a/src/main/kotlin/umberslip/http/DocumentReader.kt
+++ b/src/main/kotlin/umberslip/http/DocumentReader.kt
@@ -4,14 +4,14 @@
 import com.fasterxml.jackson.core.JsonToken
 
 /**
- * Reads one document from front to back without making maps of it. Each call starts at the first token of a value and
- * ends at its last. Names of fields are only for the messages of [MalformedMessageException].
+ * Reads one document sequentially without building maps. Each function starts at the first token of a value and ends at
+ * its last token. Field names are passed in only for the messages of [MalformedMessageException].
  */
 class DocumentReader internal constructor(
     private val parser: JsonParser,
 ) {
-    /** Calls [field] with the name of each field of a map; it has to read the value or skip it. */
-    fun map(field: (String) -> Unit) {
+    /** Calls [readField], which must read or skip the value, with the name of each field of a map. */
+    fun map(readField: (String) -> Unit) {
         if (parser.currentToken() != JsonToken.START_OBJECT) throw MalformedMessageException("not a map")
         while (true) {
             val name = parser.nextToken() ?: throw MalformedMessageException("unfinished map")
@@ -19,22 +19,22 @@
             if (name != JsonToken.FIELD_NAME) throw MalformedMessageException("a map's key is not text")
             val key = parser.currentName()
             if (parser.nextToken() == null) throw MalformedMessageException("unfinished map")
-            field(key)
+            readField(key)
         }
     }
 
-    /** Calls [item] for each item of a list, to read it or skip it; null stands for an empty list. */
-    fun list(item: () -> Unit) {
+    /** Calls [readItem], which must read or skip the item, for each item of a list. Null is read as an empty list. */
+    fun list(readItem: () -> Unit) {
         if (isNull) return
         if (parser.currentToken() != JsonToken.START_ARRAY) throw MalformedMessageException("not a list")
         while (true) {
             val next = parser.nextToken() ?: throw MalformedMessageException("unfinished list")
             if (next == JsonToken.END_ARRAY) return
-            item()
+            readItem()
         }
     }
 
-    /** Whether the value is null, which no other function but [list], [skip] and [value] accepts. */
+    /** Whether the value is null. Only [list], [skip] and [value] accept null. */
     val isNull: Boolean get() = parser.currentToken() == JsonToken.VALUE_NULL
 
     fun text(name: String): String =
@@ -44,7 +44,7 @@
             throw MalformedMessageException("$name is not text")
         }
 
-    /** A whole number that fits into 64 bits. */
+    /** Reads an integer that fits into 64 bits. */
     fun long(name: String): Long {
         val isLong =
             parser.currentToken() == JsonToken.VALUE_NUMBER_INT &&
@@ -52,7 +52,7 @@
         return if (isLong) parser.longValue else throw MalformedMessageException("$name is not a whole number")
     }
 
-    /** A finite number. */
+    /** Reads a finite number. */
     fun number(name: String): Double {
         if (parser.currentToken()?.isNumeric != true) throw MalformedMessageException("$name is not a number")
         val number = parser.doubleValue
@@ -67,12 +67,15 @@
             else -> throw MalformedMessageException("$name is not true or false")
         }
 
-    /** Passes over the whole value. */
+    /** Skips the whole value. */
     fun skip() {
         parser.skipChildren()
     }
 
-    /** The whole value as plain maps and lists; whole numbers are [Long] where they fit, others [Double]. */
+    /**
+     * Reads the whole value as plain maps and lists. Integers are [Long], or [java.math.BigInteger] if they do not fit;
+     * other numbers are [Double].
+     */
     fun value(): Any? =
         when (val token = parser.currentToken()) {
             JsonToken.START_OBJECT -> LinkedHashMap<String, Any?>().also { map -> map { map[it] = value() } }
--- a/src/main/kotlin/umberslip/http/Documents.kt
+++ b/src/main/kotlin/umberslip/http/Documents.kt
@@ -9,39 +9,39 @@
 import java.math.BigInteger
 
 /**
- * Bodies are CBOR and settings JSON; both are read to, and written from, plain maps and lists. What cannot be read is
- * a [MalformedMessageException].
+ * Reads and writes documents as plain maps and lists: message bodies are CBOR, settings are JSON. Reading throws a
+ * [MalformedMessageException] if a document is malformed.
  */
 object Documents {
     private val cbor = CBORFactory()
     private val json = JsonFactory()
 
-    /** Most documents fit, so the buffer seldom grows. */
+    /** Large enough for most documents, so the buffer seldom grows. */
     private const val BUFFER_BYTES = 256
 
-    /** The document as plain maps and lists; whole numbers are [Long] where they fit. */
+    /** Reads a CBOR document as plain maps and lists. Integers are [Long] if they fit. */
     fun readCbor(bytes: ByteArray): Any? = readCbor(bytes) { it.value() }
 
-    /** As [readCbor]. */
+    /** Reads a JSON document as [readCbor] reads CBOR. */
     fun readJson(text: String): Any? = read({ json.createParser(text) }) { it.value() }
 
-    /** Reads a document with a [DocumentReader], for what is read too often to become maps first. */
+    /** Reads a CBOR document with a [DocumentReader]; for documents that are read too often to build maps of them. */
     fun <T> readCbor(
         bytes: ByteArray,
-        with: (DocumentReader) -> T,
-    ): T = read({ cbor.createParser(bytes) }, with)
+        parse: (DocumentReader) -> T,
+    ): T = read({ cbor.createParser(bytes) }, parse)
 
-    /** Writes maps with text as keys, lists, texts, numbers, truth values and null. */
+    /** Writes maps with string keys, lists, strings, numbers, booleans and null as CBOR. */
     fun writeCbor(value: Any?): ByteArray {
         val out = ByteArrayOutputStream(BUFFER_BYTES)
         cbor.createGenerator(out).use { write(it, value) }
         return out.toByteArray()
     }
 
-    /** As [writeCbor]. */
+    /** Writes as JSON what [writeCbor] writes as CBOR. */
     fun writeJson(value: Any?): String = jsonBytes(value).toString(Charsets.UTF_8)
 
-    /** The size that the protocol's limits count: the bytes of the JSON form. */
+    /** Returns the size to which the protocol's limits apply: that of the document in JSON, in bytes. */
     fun jsonSize(value: Any?): Int = jsonBytes(value).size()
 
     private fun jsonBytes(value: Any?): ByteArrayOutputStream {
@@ -52,17 +52,17 @@
 
     private fun <T> read(
         open: () -> JsonParser,
-        with: (DocumentReader) -> T,
+        parse: (DocumentReader) -> T,
     ): T =
         try {
             open().use { parser ->
                 if (parser.nextToken() == null) throw MalformedMessageException("empty document")
-                val value = with(DocumentReader(parser))
+                val value = parse(DocumentReader(parser))
                 if (parser.nextToken() != null) throw MalformedMessageException("more than one document")
                 value
             }
         } catch (e: IOException) {
-            // The other lines only name the parser's source.
+            // The further lines of the message only name the parser's source.
             throw MalformedMessageException("unreadable document: ${e.message?.lineSequence()?.first()}")
         } catch (e: ArithmeticException) {
             throw MalformedMessageException("number out of range")
@@ -93,7 +93,7 @@
                 for (item in value) write(out, item)
                 out.writeEndArray()
             }
-            else -> throw IllegalArgumentException("a document cannot have a ${value::class}")
+            else -> throw IllegalArgumentException("unsupported type in a document: ${value::class}")
         }
     }
 }
--- a/src/main/kotlin/umberslip/http/Exceptions.kt
+++ b/src/main/kotlin/umberslip/http/Exceptions.kt
@@ -1,11 +1,11 @@
 package umberslip.http
 
-/** A document, or a field of one, is not what the protocol says it is; the message names the field. */
+/** A document or one of its fields does not conform to the protocol. The message names the field. */
 class MalformedMessageException(
     message: String,
 ) : Exception(message)
 
-/** A request to another service failed; the subtypes say whether it may have been carried out. */
+/** A request to another service failed. The subtype tells whether the request may have been carried out. */
 sealed class ServiceException(
     message: String,
 ) : Exception(message)
@@ -15,17 +15,17 @@
     message: String,
 ) : ServiceException(message)
 
-/** The request was refused since it exceeded the service's rate limit. */
+/** The request was refused because it exceeded the service's rate limit. */
 class RateLimitedException(
     message: String,
 ) : ServiceUnavailableException(message)
 
-/** The request was refused for what it asks for: sent again unchanged, it would be refused again. */
+/** The request was refused because of its content. If sent again unchanged, it would be refused again. */
 class RequestRejectedException(
     message: String,
 ) : ServiceException(message)
 
-/** No response arrived: the request may have been carried out, or may yet be. */
+/** No response arrived. The request may have been carried out, or may be carried out later. */
 class NoResponseException(
     message: String,
 ) : ServiceException(message)
--- a/src/main/kotlin/umberslip/http/Fields.kt
+++ b/src/main/kotlin/umberslip/http/Fields.kt
@@ -3,8 +3,8 @@
 import java.math.BigInteger
 
 /**
- * A map whose fields are read by name and type. A field that is missing or of another type is a
- * [MalformedMessageException] with its path in the document; a field that is null counts as missing.
+ * Reads the fields of a map by name and type. A field that is missing or of another type causes a
+ * [MalformedMessageException] with the field's path in the document. A field that is null counts as missing.
  */
 class Fields private constructor(
     private val map: Map<*, *>,
@@ -16,7 +16,7 @@
 
     fun textOrNull(name: String): String? = map[name]?.let { it as? String ?: wrongType(name, "text") }
 
-    /** A whole number that fits into 64 bits. */
+    /** Returns an integer that fits into 64 bits. */
     fun long(name: String): Long = longOrNull(name) ?: missing(name)
 
     fun longOrNull(name: String): Long? =
@@ -26,7 +26,7 @@
             else -> wrongType(name, "a whole number")
         }
 
-    /** A finite number. */
+    /** Returns a finite number. */
     fun number(name: String): Double = numberOrNull(name) ?: missing(name)
 
     fun numberOrNull(name: String): Double? =
@@ -42,14 +42,14 @@
 
     fun flagOrNull(name: String): Boolean? = map[name]?.let { it as? Boolean ?: wrongType(name, "true or false") }
 
-    /** The fields of a map within this one. */
+    /** Returns the fields of a map nested in this one. */
     fun map(name: String): Fields = (map[name] ?: missing(name)).let { of(it, path(name)) }
 
     fun list(name: String): List<*> = listOrNull(name) ?: missing(name)
 
     fun listOrNull(name: String): List<*>? = map[name]?.let { it as? List<*> ?: wrongType(name, "a list") }
 
-    /** The fields of each map in a list. */
+    /** Returns the fields of each map in a list. */
     fun maps(name: String): List<Fields> = list(name).mapIndexed { i, item -> of(item, "${path(name)}[$i]") }
 
     fun mapsOrEmpty(name: String): List<Fields> = if (has(name)) maps(name) else emptyList()
@@ -59,10 +59,10 @@
         return items.map { it as? String ?: wrongType(name, "a list of texts") }
     }
 
-    /** Where a field is in the document, for messages. */
+    /** Returns the path of a field in the document, for messages. */
     fun path(name: String): String = if (where.isEmpty()) name else "$where.$name"
 
-    /** The map itself, for fields of any type. */
+    /** Returns the underlying map, for fields of any type. */
     fun raw(): Map<*, *> = map
 
     private fun missing(name: String): Nothing = throw MalformedMessageException("${path(name)} is missing")
@@ -73,7 +73,7 @@
     ): Nothing = throw MalformedMessageException("${path(name)} is not $expected")
 
     companion object {
-        /** The fields of [value], which has to be a map; [where] it is in the document is for messages. */
+        /** Returns the fields of [value], which must be a map. [where] is its path in the document, for messages. */
         fun of(
             value: Any?,
             where: String = "",
--- a/src/main/kotlin/umberslip/http/HttpClient.kt
+++ b/src/main/kotlin/umberslip/http/HttpClient.kt
@@ -26,33 +26,33 @@
 import kotlin.time.Duration
 import kotlin.time.TimeSource
 
-/** A server's response to a request of the [HttpClient]; the body is null where there is none. */
+/** A server's response to a request of the [HttpClient]. The body is null if the response has none. */
 class Reply(
     val status: Int,
     val body: Any?,
 ) {
-    /** The body as a map. */
+    /** Returns the fields of the body, which must be a map. */
     fun fields(): Fields = Fields.of(body)
 }
 
 /**
- * Sends requests to one server over persistent connections, one request at a time on each. Confined to the thread of
- * [group], which has only one.
+ * Sends requests to one server over persistent connections, one request at a time on each. Confined to the single
+ * thread of [group].
  */
 class HttpClient(
     private val group: EventLoopGroup,
     private val address: InetSocketAddress,
-    /** The most bytes that a response may have. */
-    private val maxBody: Int,
+    /** The maximum size of a response body, in bytes. */
+    private val maxBodyBytes: Int,
     private val timeSource: TimeSource = TimeSource.Monotonic,
 ) {
     private val idleConnections = ArrayDeque<Channel>()
 
     /**
-     * Sends a request and waits for its response, for at most [timeout] to connect and as long again to respond.
+     * Sends a request and waits for its response. [timeout] applies to connecting and then, anew, to the response.
      *
-     * @throws ServiceUnavailableException where nothing was sent
-     * @throws NoResponseException where no response arrived, or none that can be read
+     * @throws ServiceUnavailableException if nothing was sent
+     * @throws NoResponseException if no readable response arrived
      */
     suspend fun call(
         method: HttpMethod,
@@ -60,10 +60,10 @@
         body: Any?,
         timeout: Duration,
     ): Reply {
-        val channel = connectWithin(timeout)
+        val channel = acquireConnectionWithin(timeout)
         val reply = CompletableDeferred<Reply>()
         channel.pipeline().get(ReplyHandler::class.java).pendingReply = reply
-        channel.writeAndFlush(request(method, path, body)).addListener(
+        channel.writeAndFlush(createRequest(method, path, body)).addListener(
             ChannelFutureListener {
                 if (!it.isSuccess) reply.completeExceptionally(NoResponseException("$address: ${it.cause()}"))
             },
@@ -72,26 +72,26 @@
             return withTimeoutOrNull(timeout) { reply.await() }
                 ?: throw NoResponseException("no response from $address within $timeout")
         } finally {
-            // A connection with an outstanding response cannot be used again.
+            // A connection with an outstanding response cannot be reused.
             if (!reply.isCompleted) channel.close()
         }
     }
 
-    private suspend fun connectWithin(timeout: Duration): Channel {
-        val began = timeSource.markNow()
+    private suspend fun acquireConnectionWithin(timeout: Duration): Channel {
+        val startedAt = timeSource.markNow()
         val channel =
-            withTimeoutOrNull(timeout) { connection() }
+            withTimeoutOrNull(timeout) { acquireConnection() }
                 ?: throw ServiceUnavailableException("no connection to $address within $timeout")
-        // After a pause of the process, the connection and the timer are ready at the same time. The request rests on
-        // what was known before the pause, so it is not sent.
-        if (began.elapsedNow() > timeout) {
+        // After a pause of the process, the connection and the timer may be ready at the same time, and the connection
+        // is returned after the timeout. The request is based on what was known before the pause, so it is not sent.
+        if (startedAt.elapsedNow() > timeout) {
             idleConnections.addLast(channel)
             throw ServiceUnavailableException("not sent to $address within $timeout")
         }
         return channel
     }
 
-    private fun request(
+    private fun createRequest(
         method: HttpMethod,
         path: String,
         body: Any?,
@@ -106,7 +106,7 @@
         return request
     }
 
-    private suspend fun connection(): Channel {
+    private suspend fun acquireConnection(): Channel {
         while (true) {
             val idle = idleConnections.removeLastOrNull() ?: break
             if (idle.isActive) return idle
@@ -115,7 +115,7 @@
     }
 
     private suspend fun connect(): Channel {
-        val connected = CompletableDeferred<Channel>()
+        val pendingChannel = CompletableDeferred<Channel>()
         val future =
             Bootstrap()
                 .group(group)
@@ -125,24 +125,28 @@
                 .handler(
                     object : ChannelInitializer<SocketChannel>() {
                         override fun initChannel(channel: SocketChannel) {
-                            channel.pipeline().addLast(HttpClientCodec(), HttpObjectAggregator(maxBody), ReplyHandler())
+                            channel.pipeline().addLast(
+                                HttpClientCodec(),
+                                HttpObjectAggregator(maxBodyBytes),
+                                ReplyHandler(),
+                            )
                         }
                     },
                 ).connect(address)
         future.addListener(
             ChannelFutureListener {
                 if (!it.isSuccess) {
-                    connected.completeExceptionally(ServiceUnavailableException("$address: ${it.cause()}"))
-                } else if (!connected.complete(it.channel())) {
+                    pendingChannel.completeExceptionally(ServiceUnavailableException("$address: ${it.cause()}"))
+                } else if (!pendingChannel.complete(it.channel())) {
                     // The caller no longer waits.
                     it.channel().close()
                 }
             },
         )
         try {
-            return connected.await()
+            return pendingChannel.await()
         } finally {
-            connected.cancel()
+            pendingChannel.cancel()
         }
     }
 
@@ -176,7 +180,7 @@
             pendingReply?.completeExceptionally(NoResponseException("$address closed the connection"))
         }
 
-        @Deprecated("as Netty's")
+        @Deprecated("deprecated in Netty")
         override fun exceptionCaught(
             ctx: ChannelHandlerContext,
             cause: Throwable,
@@ -187,7 +191,7 @@
     }
 
     private companion object {
-        /** As long as the shortest timeouts of callers. */
+        /** Equal to the shortest timeouts of callers. */
         const val CONNECT_TIMEOUT_MILLIS = 1000
     }
 }
--- a/src/main/kotlin/umberslip/http/HttpServer.kt
+++ b/src/main/kotlin/umberslip/http/HttpServer.kt
@@ -28,27 +28,27 @@
 import java.net.InetSocketAddress
 
 /**
- * The one HTTP listener of a controller, for users, workers and health checks. Confined to the thread of [group], which
- * has only one.
+ * The only HTTP listener of a controller; serves users, workers and health checks. Confined to the single thread of
+ * [group].
  */
 class HttpServer(
     private val group: EventLoopGroup,
-    /** With one more, the connection that was idle longest is closed; if none is idle, the new one is. */
+    /** At this limit, the longest idle connection is closed for a new one. If none is idle, the new one is closed. */
     private val maxConnections: Int,
     private val handler: Handler,
 ) {
     private val log = LoggerFactory.getLogger("umberslip.http")
 
-    /** Connections with no request on them, the longest idle first. */
+    /** Connections without a request in progress, in order from the longest idle. */
     private val idleConnections = LinkedHashSet<Channel>()
     private var openConnections = 0
 
-    /** Listens at [address] from when this returns. */
+    /** Starts to listen on [address] before it returns. */
     fun bind(address: InetSocketAddress): Channel =
         ServerBootstrap()
             .group(group)
             .channel(NioServerSocketChannel::class.java)
-            // After a failover the workers of the whole cluster connect at once.
+            // After a failover, all workers of the cluster connect at once.
             .option(ChannelOption.SO_BACKLOG, maxConnections)
             .option(ChannelOption.SO_REUSEADDR, true)
             .childOption(ChannelOption.TCP_NODELAY, true)
@@ -61,8 +61,8 @@
             .channel()
 
     private fun accept(channel: SocketChannel) {
-        // The process has a fixed number of sockets, some of which stay free for its own requests. The connection that
-        // was idle longest is closed for a new one, so that users and workers are served however many others are idle.
+        // The process has a fixed number of sockets, some of which are reserved for outgoing requests. The longest idle
+        // connection is closed for a new one, so that idle connections never keep users and workers from being served.
         if (openConnections >= maxConnections && idleConnections.firstOrNull()?.close() == null) {
             channel.close()
             return
@@ -75,14 +75,14 @@
         }
         channel.pipeline().addLast(
             HttpServerCodec(),
-            Aggregator(),
+            RequestAggregator(),
             IdleStateHandler(0, 0, IDLE_TIMEOUT_SECONDS),
             RequestHandler(),
         )
     }
 
-    /** Responds to a body over the limit with 400, as the protocol says, and not with 413 as Netty does. */
-    private class Aggregator : HttpObjectAggregator(MAX_BODY_BYTES) {
+    /** Responds to a body over the limit with status 400, as the protocol requires; Netty responds with 413. */
+    private class RequestAggregator : HttpObjectAggregator(MAX_BODY_BYTES) {
         override fun handleOversizedMessage(
             ctx: ChannelHandlerContext,
             oversized: HttpMessage,
@@ -137,7 +137,7 @@
             if (event is IdleStateEvent) ctx.close() else super.userEventTriggered(ctx, event)
         }
 
-        @Deprecated("as Netty's")
+        @Deprecated("deprecated in Netty")
         override fun exceptionCaught(
             ctx: ChannelHandlerContext,
             cause: Throwable,
@@ -152,9 +152,9 @@
         response: Response,
         keepAlive: Boolean,
     ) {
-        val written = ctx.writeAndFlush(encode(response, keepAlive))
+        val writeFuture = ctx.writeAndFlush(encode(response, keepAlive))
         if (!keepAlive) {
-            written.addListener(ChannelFutureListener.CLOSE)
+            writeFuture.addListener(ChannelFutureListener.CLOSE)
         } else if (ctx.channel().isActive) {
             idleConnections += ctx.channel()
         }
@@ -165,7 +165,8 @@
         keepAlive: Boolean,
     ): FullHttpResponse {
         val bytes =
-            response.plain?.toByteArray() ?: if (response.body == null) EMPTY else Documents.writeCbor(response.body)
+            response.plainText?.toByteArray()
+                ?: if (response.body == null) EMPTY_BODY else Documents.writeCbor(response.body)
         val message =
             DefaultFullHttpResponse(
                 HttpVersion.HTTP_1_1,
@@ -174,22 +175,22 @@
             )
         val headers = message.headers()
         headers.set(HttpHeaderNames.CONTENT_LENGTH, bytes.size)
-        headers.set(HttpHeaderNames.CONTENT_TYPE, if (response.plain != null) PLAIN_TEXT else CBOR)
+        headers.set(HttpHeaderNames.CONTENT_TYPE, if (response.plainText != null) METRICS_TEXT else CBOR)
         response.retryAfterSeconds?.let { headers.set(HttpHeaderNames.RETRY_AFTER, it) }
         if (!keepAlive) headers.set(HttpHeaderNames.CONNECTION, "close")
         return message
     }
 
     private companion object {
-        /** The protocol's limit. */
+        /** The protocol's limit on the body of a request. */
         const val MAX_BODY_BYTES = 64 * 1024
 
-        /** Far longer than the interval of heartbeats, so that workers keep their connections. */
+        /** Much longer than the heartbeat interval, so that workers keep their connections. */
         const val IDLE_TIMEOUT_SECONDS = 120
         const val CBOR = "application/cbor"
 
-        /** The version is that of the format in which Prometheus reads metrics. */
-        const val PLAIN_TEXT = "text/plain; version=0.0.4"
-        val EMPTY = ByteArray(0)
+        /** The content type of metrics. The version is that of the Prometheus text format. */
+        const val METRICS_TEXT = "text/plain; version=0.0.4"
+        val EMPTY_BODY = ByteArray(0)
     }
 }
--- a/src/main/kotlin/umberslip/http/RequestHandling.kt
+++ b/src/main/kotlin/umberslip/http/RequestHandling.kt
@@ -3,11 +3,11 @@
 /** A request to this controller. */
 class Request(
     val method: String,
-    /** Without the query. */
+    /** The path without the query. */
     val path: String,
     val body: ByteArray,
 ) {
-    /** The body as a CBOR map; a [MalformedMessageException] becomes status 400. */
+    /** Reads the body as a CBOR map. The server responds to a [MalformedMessageException] with status 400. */
     fun fields(): Fields = Fields.of(Documents.readCbor(body))
 }
 
@@ -17,34 +17,37 @@
     /** Sent as CBOR; null for an empty body. */
     val body: Any?,
     val retryAfterSeconds: Int? = null,
-    /** Sent as text in place of [body]. */
-    val plain: String? = null,
-    /** Closes the connection, so that the sender's next one may lead to another controller. */
+    /** Sent as text instead of [body]. */
+    val plainText: String? = null,
+    /** Whether to close the connection, so that the sender's next one may reach another controller. */
     val closeConnection: Boolean = false,
 ) {
     companion object {
         private const val ERROR = "error"
 
-        /** Asks the sender to try again later; for requests that this controller cannot serve now. */
+        /** Asks the sender to retry later, since this controller cannot serve the request now. */
         fun retryAfter(
             seconds: Int,
-            why: String,
+            reason: String,
             closeConnection: Boolean = false,
-        ) = Response(503, mapOf(ERROR to why), seconds, closeConnection = closeConnection)
+        ) = Response(503, mapOf(ERROR to reason), seconds, closeConnection = closeConnection)
 
-        /** To a worker: another controller leads, and this one does not know which; the worker asks the others. */
+        /** Tells a worker that this controller does not lead and names no leader. The worker then asks the others. */
         val MISDIRECTED = Response(421, emptyMap<String, Any?>())
 
         fun error(
             status: Int,
-            why: String,
-        ) = Response(status, mapOf(ERROR to why))
+            reason: String,
+        ) = Response(status, mapOf(ERROR to reason))
     }
 }
 
-/** Responds to a request, at once or later, exactly once, on the event loop. */
+/** Handles requests on the event loop. */
 fun interface Handler {
-    /** May throw [MalformedMessageException], which becomes status 400, before it responded. */
+    /**
+     * Handles [request] and calls [respond] exactly once, at once or later. Before the response, it may throw
+     * [MalformedMessageException], to which the server responds with status 400.
+     */
     fun handle(
         request: Request,
         respond: (Response) -> Unit,
--- a/src/test/kotlin/umberslip/api/JobApiTest.kt
+++ b/src/test/kotlin/umberslip/api/JobApiTest.kt
@@ -106,39 +106,39 @@
     fun `a job may depend only on accepted jobs that can be done, and is cancelled with them`() {
         val first = job(1)
         val service = job(2) { it.copy(shape = Shape.DAEMON) }
-        val other = job(3)
+        val dependent = job(3)
         assertEquals(201, submit(first).status)
         assertEquals(201, submit(service).status)
 
-        fun dependingOn(vararg ids: String) = submit(other, mapOf("awaits" to ids.toList()), at = 1).status
+        fun dependingOn(vararg ids: String) = submit(dependent, mapOf("awaits" to ids.toList()), at = 1).status
         assertEquals(422, dependingOn("run-555555"))
-        assertEquals(422, dependingOn(first.id.value, other.id.value))
+        assertEquals(422, dependingOn(first.id.value, dependent.id.value))
         assertEquals(422, dependingOn(service.id.value))
         assertEquals(400, dependingOn("not an id"))
-        assertEquals(400, submit(other, mapOf("awaits" to "run-000001")).status)
+        assertEquals(400, submit(dependent, mapOf("awaits" to "run-000001")).status)
         assertEquals(
             400,
-            submit(other, mapOf("awaits" to List(500) { "run-%06d".format(it) })).status,
+            submit(dependent, mapOf("awaits" to List(500) { "run-%06d".format(it) })).status,
             "the record would be too large",
         )
-        assertEquals(404 to null, status(other))
+        assertEquals(404 to null, status(dependent))
         assertEquals(201, dependingOn(first.id.value, first.id.value))
         assertEquals(200, dependingOn("run-555555"), "accepted before, so the changed dependency is ignored")
         // Cancelling the first job cancels its dependents at every controller at once, also those submitted later.
         assertEquals(200 to "aborted", cancel(first, 2))
-        for (i in 0..2) assertEquals(200 to "aborted", status(other, i))
-        val late = job(4) { it.copy(dependencies = listOf(other.id)) }
-        val accepted = submit(late)
+        for (i in 0..2) assertEquals(200 to "aborted", status(dependent, i))
+        val lateDependent = job(4) { it.copy(dependencies = listOf(dependent.id)) }
+        val accepted = submit(lateDependent)
         assertEquals(
             201 to "aborted",
             accepted.status to (accepted.body as Map<*, *>)["status"],
             "accepted, but cancelled without being queued",
         )
-        for (i in 0..2) assertEquals(200 to "aborted", status(late, i))
-        assertEquals(200 to "aborted", cancel(late))
+        for (i in 0..2) assertEquals(200 to "aborted", status(lateDependent, i))
+        assertEquals(200 to "aborted", cancel(lateDependent))
         cluster.run(20.seconds)
-        for (i in 0..2) assertEquals(200 to "aborted", status(other, i), "still cancelled after its outcome is written")
-        assertEquals("aborted", (cluster.store.get("end/${late.id.value}")?.data as Map<*, *>)["status"])
+        for (i in 0..2) assertEquals(200 to "aborted", status(dependent, i), "cancelled after the outcome is written")
+        assertEquals("aborted", (cluster.store.get("end/${lateDependent.id.value}")?.data as Map<*, *>)["status"])
         // A dependency that is done allows the job to run, even after an attempt to cancel the dependency.
         val done = job(5)
         submit(done)
--- a/src/test/kotlin/umberslip/daemon/ReadinessTest.kt
+++ b/src/test/kotlin/umberslip/daemon/ReadinessTest.kt
@@ -10,12 +10,12 @@
     private val readiness = Readiness(isOnlyMember = false)
 
     @Test
-    fun `a controller is ready while it is served, or while nobody is`() {
-        assertFalse(readiness.ready(null, 10.seconds, PeerHealth.UNSERVED), "nothing read yet")
-        for (peerHealth in PeerHealth.entries) assertTrue(readiness.ready(9.seconds, 10.seconds, peerHealth))
-        assertTrue(readiness.ready(1.seconds, 10.seconds, PeerHealth.UNSERVED), "all would turn unready at no gain")
-        assertFalse(readiness.ready(1.seconds, 10.seconds, PeerHealth.SERVED))
-        assertFalse(readiness.ready(1.seconds, 10.seconds, PeerHealth.UNREACHABLE))
-        assertTrue(Readiness(isOnlyMember = true).ready(1.seconds, 10.seconds, PeerHealth.UNREACHABLE))
+    fun `a controller is ready while the key-value store serves it or serves no controller`() {
+        assertFalse(readiness.isReady(null, 10.seconds, PeerHealth.UNSERVED), "no read has succeeded yet")
+        for (peerHealth in PeerHealth.entries) assertTrue(readiness.isReady(9.seconds, 10.seconds, peerHealth))
+        assertTrue(readiness.isReady(1.seconds, 10.seconds, PeerHealth.UNSERVED), "no controller is served")
+        assertFalse(readiness.isReady(1.seconds, 10.seconds, PeerHealth.SERVED))
+        assertFalse(readiness.isReady(1.seconds, 10.seconds, PeerHealth.UNREACHABLE))
+        assertTrue(Readiness(isOnlyMember = true).isReady(1.seconds, 10.seconds, PeerHealth.UNREACHABLE))
     }
 }
--- a/src/test/kotlin/umberslip/http/DocumentsTest.kt
+++ b/src/test/kotlin/umberslip/http/DocumentsTest.kt
@@ -22,23 +22,23 @@
 import org.junit.jupiter.api.Test
 
 class DocumentsTest {
-    private val fixed = PropTestConfig(seed = 4711, iterations = 300)
+    private val seededConfig = PropTestConfig(seed = 4711, iterations = 300)
     private val leaf: Arb<Any?> =
         Arb.choice(Arb.long(), Arb.numericDouble(-1e9, 1e9), Arb.boolean(), Arb.string(0, 12), Arb.constant(null))
     private val document: Arb<Any?> =
         Arb.bind(Arb.list(leaf, 0..5), leaf) { list, one -> mapOf("list" to list, "map" to mapOf("one" to one)) }
 
     @Test
-    fun `what is written as CBOR is read back`() =
+    fun `a document written as CBOR is read back unchanged`() =
         runBlocking<Unit> {
-            checkAll(fixed, document) { assertEquals(it, Documents.readCbor(Documents.writeCbor(it))) }
+            checkAll(seededConfig, document) { assertEquals(it, Documents.readCbor(Documents.writeCbor(it))) }
         }
 
     @Test
-    fun `arbitrary bytes are read or malformed, and nothing else`() =
+    fun `reading arbitrary bytes either succeeds or throws MalformedMessageException`() =
         runBlocking<Unit> {
             var malformed = 0
-            checkAll(fixed, Arb.byteArray(Arb.int(0..60), Arb.byte())) {
+            checkAll(seededConfig, Arb.byteArray(Arb.int(0..60), Arb.byte())) {
                 try {
                     Documents.readCbor(it)
                 } catch (e: MalformedMessageException) {
@@ -49,15 +49,15 @@
         }
 
     @Test
-    fun `a truncated document is malformed`() =
+    fun `reading a truncated document throws MalformedMessageException`() =
         runBlocking<Unit> {
-            checkAll(fixed, document.map { Documents.writeCbor(it) }) { bytes ->
+            checkAll(seededConfig, document.map { Documents.writeCbor(it) }) { bytes ->
                 assertThrows(MalformedMessageException::class.java) { Documents.readCbor(bytes.copyOf(bytes.size - 1)) }
             }
         }
 
     @Test
-    fun `the exception names the field`() {
+    fun `MalformedMessageException names the field`() {
         val fields = Fields.of(mapOf("a" to mapOf("b" to "text", "n" to 1.5, "huge" to Double.NaN))).map("a")
 
         fun message(read: (Fields) -> Unit): String? {
--- a/src/test/kotlin/umberslip/http/HttpTest.kt
+++ b/src/test/kotlin/umberslip/http/HttpTest.kt
@@ -16,13 +16,13 @@
 import kotlin.time.TimeMark
 import kotlin.time.TimeSource
 
-/** Server and client against each other, on loopback. */
+/** Tests the HTTP server and client with each other on the loopback interface. */
 class HttpTest {
     private val group = MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory())
-    private val served = AtomicInteger()
+    private val requestCount = AtomicInteger()
     private val server =
         HttpServer(group, 10) { request, respond ->
-            served.incrementAndGet()
+            requestCount.incrementAndGet()
             when (request.path) {
                 "/echo" -> respond(Response(200, mapOf("got" to request.fields().text("say"))))
                 "/elsewhere" -> respond(Response.retryAfter(3, "not here", closeConnection = true))
@@ -49,21 +49,21 @@
 
     @Test
     fun `a request that could not be sent within its timeout is never sent`() {
-        // Of a process that paused for a minute between the decision to send and the connection.
-        val pause =
+        // Simulates a process that paused for a minute between the call and the acquisition of a connection.
+        val pausedTimeSource =
             object : TimeSource {
                 override fun markNow() =
                     object : TimeMark {
                         override fun elapsedNow() = 60.seconds
                     }
             }
-        val late = HttpClient(group, server.localAddress() as InetSocketAddress, 1 shl 20, pause)
-        val before = served.get()
+        val pausedClient = HttpClient(group, server.localAddress() as InetSocketAddress, 1 shl 20, pausedTimeSource)
+        val previousCount = requestCount.get()
         assertThrows<ServiceUnavailableException> {
-            runBlocking { late.call(HttpMethod.POST, "/echo", mapOf("say" to "late"), 20.seconds) }
+            runBlocking { pausedClient.call(HttpMethod.POST, "/echo", mapOf("say" to "late"), 20.seconds) }
         }
         assertEquals("now", call("/echo", mapOf("say" to "now")).fields().text("got"))
-        assertEquals(before + 1, served.get(), "the server got the second request only")
+        assertEquals(previousCount + 1, requestCount.get(), "the server received only the second request")
     }
 
     @Test
@@ -78,7 +78,7 @@
 
     @Test
     fun `a full server closes the connection that was idle longest for a new one`() {
-        val idle =
+        val idleSockets =
             List(10) {
                 Socket().apply {
                     connect(server.localAddress())
@@ -86,18 +86,18 @@
                 }
             }
         try {
-            // The last of them is known to be accepted once it gets a response.
-            idle.last().getOutputStream().write("GET /nowhere HTTP/1.1\r\nHost: x\r\n\r\n".toByteArray())
-            assertTrue(idle.last().getInputStream().read() > 0)
+            // Once the last connection gets a response, the server has accepted all of them.
+            idleSockets.last().getOutputStream().write("GET /nowhere HTTP/1.1\r\nHost: x\r\n\r\n".toByteArray())
+            assertTrue(idleSockets.last().getInputStream().read() > 0)
             assertEquals("served", call("/echo", mapOf("say" to "served")).fields().text("got"))
-            assertEquals(-1, idle.first().getInputStream().read(), "the longest idle connection is closed")
+            assertEquals(-1, idleSockets.first().getInputStream().read(), "the longest idle one is closed")
         } finally {
-            idle.forEach { it.close() }
+            idleSockets.forEach { it.close() }
         }
     }
 
     @Test
-    fun `a sender that is sent elsewhere gets a response at once, and its connection is closed`() {
+    fun `a response that closes the connection is sent before the connection is closed`() {
         Socket().use { socket ->
             socket.connect(server.localAddress())
             socket.soTimeout = 20_000
