--- a/src/main/kotlin/umberslip/api/JobApi.kt
+++ b/src/main/kotlin/umberslip/api/JobApi.kt
@@ -99,7 +99,7 @@
     /** Logs a malformed record once per key, not once per request. */
     private fun logMalformed(failure: MalformedRecordException) {
         if (loggedKeys.size >= MAX_LOGGED_KEYS || !loggedKeys.add(failure.key)) return
-        log.error("malformed record left alone: key={} reason={}", failure.key, failure.reason)
+        log.error("malformed record neither used nor overwritten: key={} reason={}", failure.key, failure.reason)
     }
 
     private fun refuse(
--- a/src/main/kotlin/umberslip/api/JobStatus.kt
+++ b/src/main/kotlin/umberslip/api/JobStatus.kt
@@ -45,7 +45,7 @@
                 status(id, if (running > 0) RUNNING else QUEUED, done, running)
             }
             is JobStatus.Finished ->
-                when (status.outcome.end) {
+                when (status.outcome.outcome) {
                     JobOutcome.DONE -> status(id, DONE, doneTasks = status.outcome.tasks)
                     JobOutcome.CANCELLED -> status(id, CANCELLED)
                 }
--- a/src/main/kotlin/umberslip/api/JobStatusReader.kt
+++ b/src/main/kotlin/umberslip/api/JobStatusReader.kt
@@ -68,11 +68,11 @@
         while (true) {
             val state =
                 DependencyState.of(job, { records.readJob(it)?.value }) {
-                    if (it in neverAccepted) JobOutcome.DONE else outcomes.getIfPresent(it)?.end
+                    if (it in neverAccepted) JobOutcome.DONE else outcomes.getIfPresent(it)?.outcome
                 }
             when (state) {
                 DependencyState.Cancelled -> return true
-                DependencyState.Open -> return false
+                DependencyState.NotCancelled -> return false
                 is DependencyState.Unread -> state.ids.filterTo(neverAccepted) { outcomes.read(it) == null }
             }
         }
--- a/src/main/kotlin/umberslip/api/OutcomeCache.kt
+++ b/src/main/kotlin/umberslip/api/OutcomeCache.kt
@@ -35,7 +35,7 @@
      * @throws umberslip.http.ServiceException if it could not be read
      */
     suspend fun read(id: JobId): OutcomeRecord? {
-        val entry = store.lookUp(Keys.outcome(id)) ?: return null
+        val entry = store.getLowPriority(Keys.outcome(id)) ?: return null
         return entry.parseRecord(OutcomeRecord::parse).also { add(id, it) }
     }
 
--- a/src/main/kotlin/umberslip/api/SubmissionWriter.kt
+++ b/src/main/kotlin/umberslip/api/SubmissionWriter.kt
@@ -46,7 +46,7 @@
                     return
                 }
                 is TransactionResult.Rejected -> {
-                    onRejected(remaining, result.why)
+                    onRejected(remaining, result.reason)
                     return
                 }
                 is TransactionResult.PreconditionFailed -> {
@@ -96,7 +96,7 @@
                 writes = submissions.map { Write.Put(Keys.job(it.id), it.record.toMap()) },
             )
         } catch (e: RateLimitedException) {
-            writeRateLimiter.lower()
+            writeRateLimiter.lowerRate()
             logNotWritten(submissions, e)
             null
         } catch (e: ServiceUnavailableException) {
--- a/src/main/kotlin/umberslip/daemon/FollowerRenewalPublisher.kt
+++ b/src/main/kotlin/umberslip/daemon/FollowerRenewalPublisher.kt
@@ -29,7 +29,7 @@
     private val leaseRenewal: FollowerLeaseRenewal,
 ) {
     private val log = LoggerFactory.getLogger("umberslip.daemon")
-    private val key = Keys.renewedByFollower(settings.member)
+    private val key = Keys.followerRenewals(settings.member)
 
     /** The version of the record as last written; null if it must be read before the next write. */
     private var writtenVersion: Version? = null
