--- a/src/main/kotlin/umberslip/provisioning/CapacityPlanner.kt
+++ b/src/main/kotlin/umberslip/provisioning/CapacityPlanner.kt
@@ -91,7 +91,7 @@
             }
             if (!isExpensive) open = fill(open, expensiveSupply, isExpensive = true)
             if (open.isNotEmpty()) provisionOneIfNone(constraint, open)
-            work.filter { it.atOnce > 1 }.forEach { providePlaces(constraint, it) }
+            work.filter { it.concurrentTasks > 1 }.forEach { providePlaces(constraint, it) }
         }
 
         /** In the order of use: machines that are up, used ones and the cheapest first; then those that boot. */
@@ -145,7 +145,7 @@
             val holding = offers.filter { holds(it, constraint, gang) }
             val allowed = supply.filter { constraint.allows(it.offer) && it.canHold(gang.resources) }
             val zone = if (gang.oneZone) bestZone(allowed, holding, gang) else null
-            var missing = gang.atOnce
+            var missing = gang.concurrentTasks
             for (machine in allowed.filter { zone == null || it.offer.zone == zone }.sortedWith(ORDER_OF_USE)) {
                 if (missing <= 0) return
                 missing -= machine.places(gang.resources)
@@ -169,7 +169,7 @@
         ): String? {
             val byZone = allowed.groupBy { it.offer.zone }
             val places = byZone.mapValues { (_, inZone) -> inZone.sumOf { it.places(gang.resources) } }
-            val complete = places.filterValues { it >= gang.atOnce }.keys.firstOrNull()
+            val complete = places.filterValues { it >= gang.concurrentTasks }.keys.firstOrNull()
             return complete ?: holding.map { it.zone }.maxByOrNull { places[it] ?: 0 }
         }
 
--- a/src/main/kotlin/umberslip/scheduling/ClusterSnapshot.kt
+++ b/src/main/kotlin/umberslip/scheduling/ClusterSnapshot.kt
@@ -23,9 +23,10 @@
 }
 
 /**
- * Work that is to be placed: [tasks] that each take [resources], and on average [seconds]. [slack] is how long it can
- * wait for its start and still meet its next objective deadline. [atOnce] tasks must run at the same time, in the same
- * zone if [oneZone]: all of a gang, whether placed already or not; 1 for tasks that are independent.
+ * Work that waits to be placed: [tasks] tasks, each of which takes [resources] for [seconds] on average. [slack] is how
+ * long the start of the work can be delayed without missing its next objective deadline. [concurrentTasks] tasks must
+ * run at the same time, in one zone if [oneZone]. For a gang these are all of its unfinished tasks, including those
+ * already placed; for independent tasks the number is 1.
  */
 data class PendingWork(
     val where: PlacementConstraint,
@@ -33,7 +34,7 @@
     val tasks: Int,
     val seconds: Double,
     val slack: Duration = Duration.ZERO,
-    val atOnce: Int = 1,
+    val concurrentTasks: Int = 1,
     val oneZone: Boolean = false,
 )
 
@@ -141,13 +142,13 @@
                 tasks,
                 seconds * job.waiting / tasks,
                 slack,
-                tasksAtOnce(job, tasks),
+                concurrentTasks(job, tasks),
                 job.spec.oneZone,
             )
         }
 
         /** A gang of which its team's quota limit lets only [placeable] tasks start needs no places yet. */
-        private fun tasksAtOnce(
+        private fun concurrentTasks(
             job: RunningJob,
             placeable: Int,
         ): Int {
--- a/src/main/kotlin/umberslip/scheduling/Leader.kt
+++ b/src/main/kotlin/umberslip/scheduling/Leader.kt
@@ -82,7 +82,7 @@
             is LeaderMessage.TakeSnapshot -> takeSnapshot(message, now)
             is LeaderMessage.Drain -> scheduler?.let { drain(it, message, now) }
             is LeaderMessage.PrepareTermination -> prepareTermination(message)
-            is LeaderMessage.Terminated -> scheduler?.terminated(message.machineNames, now)
+            is LeaderMessage.Terminated -> scheduler?.machinesTerminated(message.machineNames, now)
         }
     }
 
@@ -176,7 +176,7 @@
                 return
             }
         }
-        if (scheduler.hasUnrecorded(machine)) {
+        if (scheduler.hasUnrecordedStarts(machine)) {
             batchWriter.flush(scheduler, now)
         } else {
             responder.respond(scheduler, machine, now)
@@ -245,7 +245,7 @@
         written.increment(batch.writes.size.toDouble())
         for (name in scheduler.applied(batch, result.version, now)) {
             val machine = scheduler.machines[name] ?: continue
-            if (!scheduler.hasUnrecorded(machine)) responder.respond(scheduler, machine, now)
+            if (!scheduler.hasUnrecordedStarts(machine)) responder.respond(scheduler, machine, now)
         }
     }
 
--- a/src/main/kotlin/umberslip/scheduling/LeaseExpiry.kt
+++ b/src/main/kotlin/umberslip/scheduling/LeaseExpiry.kt
@@ -29,7 +29,7 @@
     ) {
         if (machine.leaseExpiry > now) return
         if (machine.assignments.isEmpty()) {
-            if (machine.isReconciled) scheduler.forget(machine, now)
+            if (machine.isReconciled) scheduler.releaseTasks(machine, now)
             return
         }
         val renewalRevokedAt = machine.renewalRevokedAt
@@ -43,7 +43,7 @@
             machine.name.value,
             machine.assignments.size,
         )
-        scheduler.forget(machine, now)
+        scheduler.releaseTasks(machine, now)
     }
 
     /**
--- a/src/main/kotlin/umberslip/scheduling/SchedulerState.kt
+++ b/src/main/kotlin/umberslip/scheduling/SchedulerState.kt
@@ -289,10 +289,10 @@
     ): Boolean = now < noDispatchBefore || dispatchRounds.run(machine, now, isOutOfTime)
 
     /** Whether tasks were placed on [machine] whose starts are not stored yet. */
-    fun hasUnrecorded(machine: Machine): Boolean = machine.assignments.values.any { !it.recorded && !it.reserved }
+    fun hasUnrecordedStarts(machine: Machine): Boolean = machine.assignments.values.any { !it.recorded && !it.reserved }
 
     /** Nothing is on the machine any more: its tasks wait again. The machine may come back with its next heartbeat. */
-    fun forget(
+    fun releaseTasks(
         machine: Machine,
         now: Duration,
     ) {
@@ -306,14 +306,14 @@
     }
 
     /** The cloud has confirmed the termination of these machines: nothing is on them, and they never come back. */
-    fun terminated(
+    fun machinesTerminated(
         names: List<MachineName>,
         now: Duration,
     ) {
         for (name in names) {
             terminatedMachines += name
             val machine = machines[name] ?: continue
-            forget(machine, now)
+            releaseTasks(machine, now)
             machines.remove(name)
         }
     }
--- a/src/test/kotlin/umberslip/provisioning/CapacityPlannerTest.kt
+++ b/src/test/kotlin/umberslip/provisioning/CapacityPlannerTest.kt
@@ -120,7 +120,7 @@
         waiting: Int = tasks,
         oneZone: Boolean = false,
         cpus: Double = 1.0,
-    ) = PendingWork(any, Resources(cpus, 0.0, 1.0), waiting, 9.0, atOnce = tasks, oneZone = oneZone)
+    ) = PendingWork(any, Resources(cpus, 0.0, 1.0), waiting, 9.0, concurrentTasks = tasks, oneZone = oneZone)
 
     @Test
     fun `a gang waits for ever beside a daemon since capacity over time looks enough`() {
@@ -177,7 +177,7 @@
                 (left + added)
                     .groupBy({ (offer, _) -> offer.zone }) { (_, resources) -> places(resources, gang.resources) }
                     .map { (_, inZone) -> inZone.sum() }
-            assertTrue((if (gang.oneZone) places.max() else places.sum()) >= gang.atOnce, "$gang in $places")
+            assertTrue((if (gang.oneZone) places.max() else places.sum()) >= gang.concurrentTasks, "$gang in $places")
         }
     }
 
--- a/src/test/kotlin/umberslip/recovery/archive/RecordArchiveTest.kt
+++ b/src/test/kotlin/umberslip/recovery/archive/RecordArchiveTest.kt
@@ -144,7 +144,7 @@
                 .machine("m3")
                 .assignments.values
                 .filter { it.id != ended.task }
-        scheduler.scheduler.forget(scheduler.machine("m2"), scheduler.now)
+        scheduler.scheduler.releaseTasks(scheduler.machine("m2"), scheduler.now)
         scheduler.heartbeat(
             "m3",
             TestScheduler.ended(ended.task, ended.attempt, ExitCause.DONE),
--- a/src/test/kotlin/umberslip/scheduling/BusyCluster.kt
+++ b/src/test/kotlin/umberslip/scheduling/BusyCluster.kt
@@ -26,7 +26,7 @@
     /** The machine is gone, with all that is on it. */
     fun terminate(machineName: MachineName) {
         machineNames -= machineName.value
-        leader.scheduler.terminated(listOf(machineName), leader.now)
+        leader.scheduler.machinesTerminated(listOf(machineName), leader.now)
     }
 
     /** One second passes: every machine heartbeats, is dispatched to, and all that is due is written. */
--- a/src/test/kotlin/umberslip/scheduling/LeaseExpiryTest.kt
+++ b/src/test/kotlin/umberslip/scheduling/LeaseExpiryTest.kt
@@ -35,7 +35,7 @@
         assertEquals(3, job.waiting)
 
         leader.startAll(job, "n")
-        leader.scheduler.terminated(listOf(MachineName("n")), leader.now)
+        leader.scheduler.machinesTerminated(listOf(MachineName("n")), leader.now)
         assertEquals(3, job.waiting)
         val late = leader.heartbeat("n", sequenceNumber = 99)
         assertEquals(HeartbeatDisposition.OUT_OF_DATE, late, "a late heartbeat of a terminated machine")
--- a/src/test/kotlin/umberslip/scheduling/LogCompactionTest.kt
+++ b/src/test/kotlin/umberslip/scheduling/LogCompactionTest.kt
@@ -88,8 +88,8 @@
         repeat(300) { number ->
             val task = service.assigned.values.random(random)
             round(leader, mapOf(task.id to ExitCause.STOPPED))
-            val hasUnrecorded = leader.scheduler.hasUnrecorded(leader.machine("m"))
-            assertFalse(hasUnrecorded, "round $number: a start waits for its record")
+            val hasUnrecordedStarts = leader.scheduler.hasUnrecordedStarts(leader.machine("m"))
+            assertFalse(hasUnrecordedStarts, "round $number: a start waits for its record")
         }
         assertTrue(leader.written.none { it.key == Keys.progress(service.spec.id, 0) }, "its own record never fitted")
         assertEquals(placements(leader), placements(leader.successor()))
--- a/src/test/kotlin/umberslip/scheduling/WorkerCommandsTest.kt
+++ b/src/test/kotlin/umberslip/scheduling/WorkerCommandsTest.kt
@@ -20,7 +20,7 @@
         leader.job()
         leader.heartbeat("m")
         leader.dispatch("m")
-        assertTrue(leader.scheduler.hasUnrecorded(leader.machine("m")))
+        assertTrue(leader.scheduler.hasUnrecordedStarts(leader.machine("m")))
         assertEquals(emptyList<WorkerCommand>(), leader.commands("m"))
         leader.write()
         assertEquals(3, leader.starts("m").size)
