--- a/src/main/kotlin/umberslip/scheduling/Assignment.kt
+++ b/src/main/kotlin/umberslip/scheduling/Assignment.kt
@@ -7,44 +7,44 @@
 import umberslip.core.TaskId
 import kotlin.time.Duration
 
-/** A task that is, or may be, on a machine. Mutable; used on the leader actor's thread only. */
+/** The assignment of a task to a machine on which it is or may be. Mutable; used on the leader actor's thread only. */
 class Assignment(
     val job: RunningJob,
     val index: Int,
-    /** Zero until the task is given an attempt number, which for a gang happens once it is complete. */
+    /** Zero until an attempt number is given, which for the tasks of a gang happens once the gang is complete. */
     var attempt: Long,
     val machineName: MachineName,
-    /** Empty while only the records name the machine; its first heartbeat has the zone. */
+    /** The zone of the machine; empty while only the records name the machine, until its first heartbeat. */
     val zone: String,
 ) {
     val id = TaskId(job.spec.id, index)
     val resources: Resources get() = job.resources
 
-    /** Holds resources for a gang that is not complete yet: neither recorded nor started. */
+    /** Whether the assignment only reserves resources for an incomplete gang; it is neither recorded nor started. */
     var reserved = false
 
-    /** The start is stored, in the write-ahead log or in its progress block, so it may be sent to the worker. */
+    /** Whether the start is stored, in the write-ahead log or the progress record, so it may be sent to the worker. */
     var recorded = false
 
-    /** The state in the newest heartbeat of its machine; null while that does not list the task. */
+    /** The task's state in the newest heartbeat of its machine; null if that heartbeat does not list the task. */
     var status: TaskState? = null
 
     /** Whether the newest heartbeat of its machine lists this attempt. */
     var isReported = false
 
-    /** When a heartbeat first showed it running; null before. */
+    /** When a heartbeat first showed the task running; null before that. */
     var runningSince: Duration? = null
 
-    /** Set once the task is to stop: how long the worker gives it to save a checkpoint. */
+    /** How long the worker gives the task to save a checkpoint; null unless the task is to stop. */
     var gracePeriod: Duration? = null
         private set
 
-    /** The expected run time that is left, negative if it runs longer than expected; null until it runs. */
+    /** Returns the expected remaining run time, negative if the task is overdue; null until it runs. */
     fun remainingRunTime(now: Duration): Duration? = runningSince?.let { job.expectedRunTime - (now - it) }
 
     /**
-     * Whether it can be stopped and started elsewhere at little loss: it runs, saves a checkpoint when stopped, and
-     * has run for at least [minRunTime].
+     * Whether the task can be stopped and started elsewhere at little loss: it belongs to an array, is running, saves a
+     * checkpoint when stopped, and has run for at least [minRunTime].
      */
     fun mayMigrate(
         now: Duration,
@@ -59,20 +59,20 @@
     }
 
     /**
-     * Asks the task to stop within [gracePeriod]; a request made before stays as it is. All tasks of a gang are
-     * asked together, so that they can save a common checkpoint.
+     * Requests that the task is stopped within [gracePeriod]; an earlier request remains unchanged. All tasks of a gang
+     * are stopped together, so that they can save a common checkpoint.
      */
     fun requestStop(gracePeriod: Duration) {
         val tasks = if (job.spec.shape == Shape.GANG) job.assigned.values else listOf(this)
         for (task in tasks) if (task.gracePeriod == null) task.gracePeriod = gracePeriod
     }
 
-    /** The same task with the zone that its machine's heartbeat has; it replaces this one. */
-    fun inZone(zone: String): Assignment {
-        val moved = Assignment(job, index, attempt, machineName, zone)
-        moved.recorded = recorded
-        moved.reserved = reserved
-        moved.gracePeriod = gracePeriod
-        return moved
+    /** Returns an assignment of the same task with the zone from its machine's heartbeat, to replace this one. */
+    fun withZone(zone: String): Assignment {
+        val replacement = Assignment(job, index, attempt, machineName, zone)
+        replacement.recorded = recorded
+        replacement.reserved = reserved
+        replacement.gracePeriod = gracePeriod
+        return replacement
     }
 }
--- a/src/main/kotlin/umberslip/scheduling/AssignmentLifecycle.kt
+++ b/src/main/kotlin/umberslip/scheduling/AssignmentLifecycle.kt
@@ -5,8 +5,8 @@
 import kotlin.time.Duration
 
 /**
- * Puts assignments on machines and takes them off, and updates everything that counts them: the job, the machine, the
- * team's quota, both queues and the write-ahead log. The collections belong to [SchedulerState].
+ * Adds and removes the assignments of tasks to machines, and updates everything that tracks them: the job, the machine,
+ * the team's quota, both queues and the write-ahead log. The collections are owned by [SchedulerState].
  */
 internal class AssignmentLifecycle(
     private val jobs: Map<JobId, RunningJob>,
@@ -16,7 +16,7 @@
     private val starvationGuard: StarvationGuard,
     private val writeAheadLog: WriteAheadLog,
 ) {
-    /** Puts the task on the machine; it counts against the machine and the team from now on. */
+    /** Assigns the task to the machine. Its resources count for the machine and for the team's quota from now on. */
     fun attach(
         assignment: Assignment,
         machine: Machine,
@@ -29,7 +29,7 @@
         refresh(job)
     }
 
-    /** Takes the task off its machine without writing anything; it waits again unless it is done. */
+    /** Removes the assignment without queuing any write for it. The task waits to be placed again unless it is done. */
     fun detach(assignment: Assignment) {
         machines[assignment.machineName]?.remove(assignment)
         assignment.job.unplace(assignment)
@@ -37,7 +37,7 @@
         refresh(assignment.job)
     }
 
-    /** Gives the task its attempt number and queues its start for writing; only then may the worker get it. */
+    /** Sets the attempt number and queues the start for writing. Only a recorded start may be sent to the worker. */
     fun start(
         assignment: Assignment,
         attempt: Long,
@@ -49,21 +49,22 @@
     }
 
     /**
-     * The task is certainly not on its machine any more: it completed if [isDone], else it waits to be placed again.
-     * Returns the exit, which is to be recorded before the worker may clear the task.
+     * Ends the assignment of a task that has exited or is certainly not on its machine any more. The task is completed
+     * if [isDone]; otherwise it waits to be placed again. Returns the exit, which has to be recorded before the worker
+     * may clear the task.
      */
     fun release(
         assignment: Assignment,
         now: Duration,
         isDone: Boolean = false,
     ): TaskExit {
-        // Before the task is detached, since detaching puts what is not done back among the waiting.
+        // Set before the task is detached, since detaching requeues a task that is not done.
         if (isDone) assignment.job.setDone(assignment.index)
         detach(assignment)
         return writeAheadLog.ended(assignment, isDone, now)
     }
 
-    /** Gives up the resources that an incomplete gang holds. */
+    /** Releases the resources that are reserved for an incomplete gang. */
     fun withdrawReserved(job: RunningJob) {
         job.assigned.values
             .filter { it.reserved }
@@ -71,7 +72,7 @@
         job.assemblingSince = null
     }
 
-    /** Withdraws the job's tasks whose start is not stored, so no worker has got it. */
+    /** Withdraws the job's tasks whose starts are not stored. No worker has received these starts. */
     fun withdrawUnrecorded(job: RunningJob) {
         withdrawReserved(job)
         job.assigned.values.filter { !it.recorded }.forEach {
@@ -80,7 +81,7 @@
         }
     }
 
-    /** Brings the queues and the write-ahead log up to date after the job's tasks or its state changed. */
+    /** Updates the queues and the write-ahead log after a change of the job's tasks or of its state. */
     fun refresh(job: RunningJob) {
         if (jobs[job.spec.id] !== job) return
         teams[job.spec.team]?.refresh(job)
--- a/src/main/kotlin/umberslip/scheduling/ClusterSnapshot.kt
+++ b/src/main/kotlin/umberslip/scheduling/ClusterSnapshot.kt
@@ -9,13 +9,13 @@
 import kotlin.time.Duration.Companion.seconds
 import kotlin.time.DurationUnit
 
-/** Where tasks may run; tasks with equal constraints are planned together. */
+/** The offers on whose machines tasks may run. Tasks with equal constraints are planned together. */
 data class PlacementConstraint(
     val instanceTypes: List<String>?,
     val zone: String?,
     val spot: Boolean,
 ) {
-    /** Whether the tasks may run on machines of that offer. */
+    /** Whether the tasks may run on machines of [offer]. */
     fun allows(offer: Offer): Boolean =
         (instanceTypes == null || offer.type in instanceTypes) &&
             (zone == null || offer.zone == zone) &&
@@ -43,45 +43,46 @@
     val resources: Resources,
     val seconds: Double,
 ) {
-    /** Whether it keeps its resources until somebody stops it. */
+    /** Whether the task keeps its resources until it is stopped. */
     val isEndless: Boolean get() = seconds >= ENDLESS_SECONDS
 
     companion object {
-        /** Daemons run until they are stopped; long enough for any plan. */
+        /** The run time assumed for daemons, which run until they are stopped. It is long enough for any plan. */
         const val ENDLESS_SECONDS = 1e6
     }
 }
 
-/** A machine as the provisioner plans with it. Durations count back from the time of the snapshot. */
+/** The state of a machine as the provisioner plans with it. Durations are relative to the time of the snapshot. */
 data class MachineSnapshot(
     val name: MachineName,
     val offer: Offer,
-    /** Null as long as the instance type is not known. */
+    /** Null while the instance type is not known. */
     val capacity: Resources?,
-    val usable: Boolean,
+    val isUsable: Boolean,
     val isDraining: Boolean,
     val isQuarantined: Boolean,
-    /** Until the spot interruption; null without a notice. */
+    /** The time until the spot interruption; null without an interruption notice. */
     val interruptedIn: Duration?,
-    /** How many tasks are assigned, also those that do not run yet. */
+    /** The number of assigned tasks, including those that do not run yet. */
     val tasks: Int,
+    /** All assigned tasks, including those that do not run yet. */
     val running: List<RunningTask>,
-    /** Since the machine last had contact with the leader; null before the first in this term. */
+    /** The time since the last contact with the leader; null before the first in this term. */
     val sinceContact: Duration?,
-    /** As [sinceContact], but with any controller; since the records were loaded, if there was none. */
+    /** The time since the last contact with any controller, or since the records were loaded if there was none. */
     val sinceAnyContact: Duration,
     val leaseExpired: Boolean,
-    /** A time by which it certainly was provisioned, on the leader's monotonic clock. */
+    /** A time on the leader's monotonic clock by which the machine had certainly been provisioned. */
     val provisionedBefore: Duration,
     val runningCpus: Double,
     val fetchingCpus: Double,
 )
 
-/** What the provisioner plans from: the machines, and the work that waits for them. Immutable. */
+/** The state that the provisioner plans from: the machines, and the work that waits for them. Immutable. */
 class ClusterSnapshot(
     val machines: List<MachineSnapshot>,
     val waiting: List<PendingWork>,
-    /** Since when the job has been runnable that has waited longest for its first task to start; null without one. */
+    /** When the job that has waited longest for its first task to start became runnable; null if there is none. */
     val oldestUnstartedSince: Duration? = null,
 ) {
     companion object {
@@ -106,13 +107,13 @@
             now: Duration,
             waiting: MutableList<PendingWork>,
         ) {
-            // What a team's quota limit does not let start needs no machine.
-            var cpus = team.quota.maxCpus?.minus(team.quota.usedCpus) ?: Double.MAX_VALUE
+            // Tasks that the team's quota limit does not allow to start need no machine.
+            var quotaCpus = team.quota.maxCpus?.minus(team.quota.usedCpus) ?: Double.MAX_VALUE
             for (job in team.waiting) {
                 if (job.retryAfter > now) continue
-                val tasks = minOf(job.waiting, tasksWithin(cpus, job), if (job.isQuarantined) 1 else Int.MAX_VALUE)
+                val tasks = minOf(job.waiting, tasksWithin(quotaCpus, job), if (job.isQuarantined) 1 else Int.MAX_VALUE)
                 if (tasks <= 0) continue
-                cpus -= tasks * job.resources.cpus
+                quotaCpus -= tasks * job.resources.cpus
                 waiting += pendingWork(job, tasks, now)
             }
         }
@@ -133,9 +134,9 @@
             val isDaemon = job.spec.shape == Shape.DAEMON
             val seconds = if (isDaemon) RunningTask.ENDLESS_SECONDS else job.expectedSeconds
             val runTime = if (isDaemon) RunningTask.ENDLESS_SECONDS.seconds else job.expectedRunTime
-            val reachable = job.objectiveDeadlines.firstOrNull { it > now + runTime }
-            val slack = reachable?.let { it - now - runTime } ?: SLACK_WHEN_ALL_MISSED
-            // What the limit holds back follows on the same machines, one after the other.
+            val reachableDeadline = job.objectiveDeadlines.firstOrNull { it > now + runTime }
+            val slack = reachableDeadline?.let { it - now - runTime } ?: SLACK_WHEN_ALL_MISSED
+            // The tasks that the limit delays run on the same machines afterwards, so their run time is included.
             return PendingWork(
                 constraint(job),
                 job.resources,
@@ -147,7 +148,10 @@
             )
         }
 
-        /** A gang of which its team's quota limit lets only [placeable] tasks start needs no places yet. */
+        /**
+         * Returns how many tasks must run at the same time. A gang does not need places for all of its tasks yet while
+         * the team's quota limit lets only [placeable] of its waiting tasks start.
+         */
         private fun concurrentTasks(
             job: RunningJob,
             placeable: Int,
@@ -156,7 +160,7 @@
             return job.spec.tasks - job.doneCount
         }
 
-        /** A job of one zone that has tasks there has no use for machines elsewhere. */
+        /** A job that must run in one zone and has tasks in a zone cannot use machines in other zones. */
         private fun constraint(job: RunningJob): PlacementConstraint {
             val boundZone = if (job.spec.oneZone) job.zones.keys.singleOrNull { it.isNotEmpty() } else null
             return PlacementConstraint(job.spec.instanceTypes, job.spec.zone ?: boundZone, job.spec.spot)
@@ -170,16 +174,16 @@
                 name = machine.name,
                 offer = Offer(machine.type, machine.zone, machine.spot),
                 capacity = machine.capacity,
-                usable = machine.isUsable,
+                isUsable = machine.isUsable,
                 isDraining = machine.isDraining,
                 isQuarantined = machine.isQuarantined,
                 interruptedIn = machine.interruptionAt?.minus(now),
                 tasks = machine.assignments.size,
                 running = machine.assignments.values.map { runningTask(it, now) },
-                sinceContact = machine.lastContact?.let { now - it },
+                sinceContact = machine.lastContactAt?.let { now - it },
                 sinceAnyContact = machine.timeSinceContact(now),
                 leaseExpired = machine.leaseExpiry <= now,
-                provisionedBefore = machine.firstContact ?: machine.loadedAt,
+                provisionedBefore = machine.firstContactAt ?: machine.loadedAt,
                 runningCpus = cpusInState(machine, TaskState.RUNNING),
                 fetchingCpus = cpusInState(machine, TaskState.FETCHING),
             )
@@ -203,10 +207,10 @@
         /** More tasks than any job has. */
         private const val MAX_TASKS = 1e6
 
-        /** What has missed all its deadlines can wait for cheap machines. */
+        /** The slack of work that has missed all its deadlines and can wait for cheap machines. */
         private val SLACK_WHEN_ALL_MISSED = 200.seconds
 
-        /** A task that runs longer than expected is taken to end after this long. */
+        /** The least remaining run time assumed for a task, in particular for one that runs longer than expected. */
         private const val MIN_REMAINING_SECONDS = 4.0
     }
 }
--- a/src/main/kotlin/umberslip/scheduling/FailureTracker.kt
+++ b/src/main/kotlin/umberslip/scheduling/FailureTracker.kt
@@ -7,7 +7,10 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** How often tasks of a job failed on a machine since the last success there, and when they first and last did. */
+/**
+ * How often tasks of one job have failed on a machine since the last success of any task there, and the times of the
+ * first and the last of these failures.
+ */
 class MachineFailures(
     val count: Int,
     val first: Duration,
@@ -15,23 +18,23 @@
 )
 
 /**
- * Distinguishes a machine that fails every task from a job that fails on every machine, and quarantines either.
+ * Distinguishes machines on which every task fails from jobs that fail on every machine, and quarantines both.
  *
- * A job that failed on several machines and succeeded nowhere is retried with exponential back-off. Once as many of its
- * tasks have failed as are assigned, an array is quarantined: it is retried one task at a time, and its failures are no
- * evidence against machines. A job is healthy when a task of it has completed, or runs for longer than those that
- * failed. A machine is quarantined, for good, when healthy jobs fail there and nothing succeeds in between.
- * Pure: time is an input.
+ * A job whose tasks failed on several machines and succeeded on none is retried with exponential back-off. If it is an
+ * array, it is quarantined once as many of its tasks have failed as are assigned: it is then retried one task at a
+ * time, and its failures are no evidence against machines. A job is healthy if one of its tasks has completed, or has
+ * run longer than those that failed. A machine is quarantined permanently if healthy jobs fail on it and no task
+ * succeeds there in between. Pure: time is an input.
  */
 class FailureTracker(
     private val jobs: Map<JobId, RunningJob>,
 ) {
     private val log = LoggerFactory.getLogger("umberslip.scheduling")
 
-    /** Jobs with failures since their last success. */
+    /** Jobs of which a task has failed since their last success. */
     private val failing = LinkedHashSet<RunningJob>()
 
-    /** A task of the job completed on the machine, which clears the failures of both. */
+    /** Clears the failures of the machine and the job after a task of the job completed on the machine. */
     fun succeeded(
         machine: Machine,
         job: RunningJob,
@@ -42,7 +45,7 @@
         job.isQuarantined = false
     }
 
-    /** A task of the job failed on the machine; [ranFor] is how long it ran, zero if that is not known. */
+    /** Counts the failure of a task of the job on the machine. It ran for [ranFor], zero if that is not known. */
     fun failed(
         machine: Machine,
         job: RunningJob,
@@ -51,14 +54,14 @@
     ) {
         failing += job
         job.failures.add(machine.name, ranFor)
-        val known = machine.failures[job.spec.id]
-        machine.failures[job.spec.id] = MachineFailures((known?.count ?: 0) + 1, known?.first ?: now, now)
+        val previous = machine.failures[job.spec.id]
+        machine.failures[job.spec.id] = MachineFailures((previous?.count ?: 0) + 1, previous?.first ?: now, now)
         backOff(job, now)
         assess(job, now)
         assess(machine, now)
     }
 
-    /** With time, tasks that keep running show that their job is healthy. */
+    /** Reassesses the failing jobs, since a task that keeps running shows after some time that its job is healthy. */
     fun tick(now: Duration) {
         failing.removeAll { jobs[it.spec.id] !== it }
         for (job in failing) assess(job, now)
@@ -69,7 +72,7 @@
         now: Duration,
     ) {
         val failsEverywhere = job.failures.machineCount >= MIN_MACHINES && job.doneCount == 0
-        // Tasks that began before the back-off belong to the same try.
+        // Failures of tasks that began before the back-off belong to the same try.
         if (!failsEverywhere || now < job.retryAfter) return
         val wait = job.failures.nextBackOff()
         job.retryAfter = now + wait
@@ -97,12 +100,12 @@
             failures.taskCount >= job.assigned.size
     }
 
-    /** Quarantines the machine if it is to blame for its failures; called after each failure and on every tick. */
+    /** Quarantines the machine if its failures show that it is faulty. Called after each failure and on every tick. */
     fun assess(
         machine: Machine,
         now: Duration,
     ) {
-        if (machine.isQuarantined || machine.failures.isEmpty() || !isToBlame(machine, now)) return
+        if (machine.isQuarantined || machine.failures.isEmpty() || !isFaulty(machine, now)) return
         machine.isQuarantined = true
         log.warn(
             "machine quarantined after failures: machine={} failed_jobs={}",
@@ -111,32 +114,32 @@
         )
     }
 
-    private fun isToBlame(
+    private fun isFaulty(
         machine: Machine,
         now: Duration,
     ): Boolean {
-        val evidence = machine.failures.filterKeys { id -> jobs[id]?.isQuarantined == false }
-        val ofHealthyJobs = evidence.filterKeys { id -> jobs[id]?.failures?.isJobHealthy == true }
-        if (ofHealthyJobs.values.sumOf { it.count } >= MIN_FAILURES) return true
-        if (evidence.size < MIN_JOBS) return false
-        // Jobs that are neither healthy nor quarantined yet get time for their tasks elsewhere to decide it.
-        return ofHealthyJobs.isNotEmpty() || evidence.values.all { now - it.first >= OBSERVATION_TIME }
+        val relevantFailures = machine.failures.filterKeys { id -> jobs[id]?.isQuarantined == false }
+        val healthyJobFailures = relevantFailures.filterKeys { id -> jobs[id]?.failures?.isJobHealthy == true }
+        if (healthyJobFailures.values.sumOf { it.count } >= MIN_FAILURES) return true
+        if (relevantFailures.size < MIN_JOBS) return false
+        // Jobs that are neither healthy nor quarantined yet get time to show either by their tasks on other machines.
+        return healthyJobFailures.isNotEmpty() || relevantFailures.values.all { now - it.first >= OBSERVATION_TIME }
     }
 
     private companion object {
-        /** A job that failed on one machine only may have met a faulty one. */
+        /** A job whose tasks failed on one machine only may have been placed on a faulty one. */
         const val MIN_MACHINES = 2
 
-        /** Healthy jobs, too, fail now and then. */
+        /** Tasks of healthy jobs fail occasionally, too, so one failure does not show that a machine is faulty. */
         const val MIN_FAILURES = 2
 
-        /** One job is no evidence against a machine unless it is healthy. */
+        /** The failures of a single job are no evidence against a machine unless the job is healthy. */
         const val MIN_JOBS = 2
 
         /** A job that fails everywhere fails on other machines within about this time. */
         val OBSERVATION_TIME = 4.seconds
 
-        /** A task that runs so much longer than those that failed is not expected to fail. */
+        /** A task that has run this much longer than those that failed is not expected to fail. */
         val HEALTHY_RUN_MARGIN = 5.seconds
     }
 }
@@ -144,12 +147,12 @@
 /** The failures of a job's tasks since the last success of one of them. */
 class JobFailures {
     private val machines = HashSet<MachineName>()
-    private var tries = 0
+    private var backOffs = 0
 
-    /** A task of the job has completed, or keeps running: it does not fail everywhere. */
+    /** Whether a task of the job has completed or keeps running, so that the job does not fail everywhere. */
     var isJobHealthy = false
 
-    /** How many tasks failed. */
+    /** The number of failed task attempts. */
     var taskCount = 0
         private set
 
@@ -157,10 +160,10 @@
     var longestRun: Duration = Duration.ZERO
         private set
 
-    /** On how many machines tasks failed. */
+    /** The number of machines on which tasks failed. */
     val machineCount: Int get() = machines.size
 
-    /** A task failed on [machine] after running for [ranFor]. */
+    /** Adds the failure of a task on [machine] that had run for [ranFor]. */
     fun add(
         machine: MachineName,
         ranFor: Duration,
@@ -170,18 +173,18 @@
         longestRun = maxOf(longestRun, ranFor)
     }
 
-    /** A task succeeded. */
+    /** Clears the failures after a task of the job succeeded. */
     fun clear() {
         machines.clear()
-        tries = 0
+        backOffs = 0
         taskCount = 0
         longestRun = Duration.ZERO
     }
 
-    /** How long to wait before the next try: doubles with each call, from 4 s to 64 s. */
+    /** Returns how long to wait before the next try. The wait doubles with each call, from 4 s to 64 s. */
     fun nextBackOff(): Duration {
-        val doublings = tries.coerceAtMost(MAX_DOUBLINGS)
-        tries++
+        val doublings = backOffs.coerceAtMost(MAX_DOUBLINGS)
+        backOffs++
         return FIRST_BACK_OFF * (1 shl doublings)
     }
 
--- a/src/main/kotlin/umberslip/scheduling/HeartbeatDisposition.kt
+++ b/src/main/kotlin/umberslip/scheduling/HeartbeatDisposition.kt
@@ -2,16 +2,19 @@
 
 /** How the leader treats a worker's heartbeat. */
 enum class HeartbeatDisposition {
-    /** Its contents are current. To be answered with the leader's term and with commands. */
+    /** The heartbeat is current. It is answered with the leader's term and with commands. */
     ACCEPTED,
 
     /**
-     * It carries an older fencing token, so it may be a delayed copy and does not even show that its machine is up.
-     * To be answered with the leader's term alone; a live worker's next heartbeat then carries that term.
+     * The heartbeat carries an older fencing token. It may be a delayed copy and does not even show that its machine is
+     * up. It is answered with the leader's term alone; the next heartbeat of a live worker then carries that term.
      */
     TOKEN_BEHIND,
 
-    /** Older than a heartbeat already processed, or from a terminated machine: gets neither commands nor a lease. */
+    /**
+     * The heartbeat is not newer than one already processed, or comes from a terminated machine. It is refused, without
+     * commands and without a lease renewal.
+     */
     OUT_OF_DATE,
 
     /** The worker knows a higher term, so another controller has been elected. */
--- a/src/main/kotlin/umberslip/scheduling/HeartbeatReconciliation.kt
+++ b/src/main/kotlin/umberslip/scheduling/HeartbeatReconciliation.kt
@@ -10,8 +10,8 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Compares the tasks that a current heartbeat lists with those assigned to its machine, and applies what the worker
- * knows better: what runs, what exited, and what is not there.
+ * Compares the tasks that a current heartbeat lists with those assigned to its machine, and updates the assignments to
+ * what the worker reports: tasks that run, tasks that exited, and tasks that are not on the machine.
  */
 internal class HeartbeatReconciliation(
     private val assignments: AssignmentLifecycle,
@@ -19,7 +19,10 @@
 ) {
     private val log = LoggerFactory.getLogger("umberslip.scheduling")
 
-    /** [isNewEpoch] says that the agent restarted since its last heartbeat, so what ran before is not there now. */
+    /**
+     * Reconciles the machine's assignments with [heartbeat]. If [isNewEpoch], the agent has restarted since its last
+     * heartbeat, so tasks that ran before are no longer on the machine.
+     */
     fun reconcile(
         machine: Machine,
         heartbeat: Heartbeat,
@@ -33,8 +36,8 @@
             applyReported(machine, task, now)
         }
         machine.reported = reported
-        forgetClearedExits(machine)
-        for (assignment in absent(machine)) applyAbsence(machine, assignment, isNewEpoch, now)
+        removeClearedExits(machine)
+        for (assignment in unreportedAssignments(machine)) applyUnreported(machine, assignment, isNewEpoch, now)
         if (isNewEpoch) {
             log.info(
                 "agent restarted: machine={} epoch={}",
@@ -55,7 +58,7 @@
         assignment.status = task.status
         if (task.status == TaskState.RUNNING && assignment.runningSince == null) {
             assignment.runningSince = now
-            machine.taskRuns(assignment.job.spec.image)
+            machine.imageFetched(assignment.job.spec.image)
         }
         if (task.status == TaskState.EXITED) applyExit(machine, assignment, task.cause ?: ExitCause.ERROR, now)
     }
@@ -68,40 +71,42 @@
     ) {
         val job = assignment.job
         val ranFor = assignment.runningSince?.let { now - it }
-        machine.awaitingClear[assignment.id] = assignments.release(assignment, now, isDone = cause == ExitCause.DONE)
+        machine.exitsAwaitingClear[assignment.id] =
+            assignments.release(assignment, now, isDone = cause == ExitCause.DONE)
         when (cause) {
             ExitCause.DONE -> {
                 failures.succeeded(machine, job)
                 ranFor?.let(job::runTimeObserved)
             }
             ExitCause.ERROR -> failures.failed(machine, job, ranFor ?: Duration.ZERO, now)
-            ExitCause.MACHINE_FULL, ExitCause.ALREADY_PRESENT -> machine.noPlacementUntil = now + REFUSED_RETRY
-            ExitCause.UNKNOWN -> job.retryAfter = now + REFUSED_RETRY
+            ExitCause.MACHINE_FULL, ExitCause.ALREADY_PRESENT -> machine.noPlacementUntil = now + REFUSED_RETRY_DELAY
+            ExitCause.UNKNOWN -> job.retryAfter = now + REFUSED_RETRY_DELAY
             ExitCause.STOPPED, ExitCause.GANG_MEMBER_LOST, ExitCause.GANG_INCOMPLETE -> Unit
         }
     }
 
-    /** An exit that the worker does not list any more is cleared there. */
-    private fun forgetClearedExits(machine: Machine) {
-        if (machine.awaitingClear.isEmpty()) return
-        machine.awaitingClear.entries.removeIf { (task, exit) -> machine.reported[task]?.attempt != exit.attempt }
+    /** Removes exits of tasks that the worker no longer lists, since it has cleared them. */
+    private fun removeClearedExits(machine: Machine) {
+        if (machine.exitsAwaitingClear.isEmpty()) return
+        machine.exitsAwaitingClear.entries.removeIf { (task, exit) -> machine.reported[task]?.attempt != exit.attempt }
     }
 
-    /** Recorded tasks that the heartbeat does not list; nearly always none, so no list is made for none. */
-    private fun absent(machine: Machine): List<Assignment> {
-        var absent: ArrayList<Assignment>? = null
+    /** Returns the recorded tasks that the heartbeat does not list. Allocates no list for none, the usual case. */
+    private fun unreportedAssignments(machine: Machine): List<Assignment> {
+        var unreported: ArrayList<Assignment>? = null
         for (assignment in machine.assignments.values) {
             if (!assignment.recorded || assignment.reserved || assignment.isReported) continue
-            absent = (absent ?: ArrayList()).also { it += assignment }
+            unreported = (unreported ?: ArrayList()).also { it += assignment }
         }
-        return absent.orEmpty()
+        return unreported.orEmpty()
     }
 
     /**
-     * The task is not on the machine, and a response that would still start it has no effect, since the worker has sent
-     * a newer heartbeat. Its start is sent again, unless the task should not be here any more.
+     * Handles a task that is not on the machine. No earlier response can start it any more, since the worker has sent a
+     * newer heartbeat. The task stays assigned, so its start is sent again, unless the agent restarted or the task
+     * should not run here any more; then it is released.
      */
-    private fun applyAbsence(
+    private fun applyUnreported(
         machine: Machine,
         assignment: Assignment,
         isNewEpoch: Boolean,
@@ -115,7 +120,7 @@
     }
 
     private companion object {
-        /** After a worker refused a task, since its state changes with the next heartbeats. */
-        val REFUSED_RETRY = 2.seconds
+        /** The wait before a retry after a worker refused a task, since its state changes with the next heartbeats. */
+        val REFUSED_RETRY_DELAY = 2.seconds
     }
 }
--- a/src/main/kotlin/umberslip/scheduling/HeartbeatResponder.kt
+++ b/src/main/kotlin/umberslip/scheduling/HeartbeatResponder.kt
@@ -14,8 +14,8 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * Answers workers' heartbeats. The response to an accepted one waits until the starts that it brought about are
- * recorded, but not for long. Confined to the leader actor.
+ * Answers workers' heartbeats. The response to an accepted heartbeat is delayed until the starts of the tasks that were
+ * placed on it are recorded, but not for much longer than [MAX_RESPONSE_TIME]. Confined to the leader actor.
  */
 internal class HeartbeatResponder(
     private val leaderLease: LeaderLease,
@@ -31,12 +31,12 @@
     private val log = LoggerFactory.getLogger("umberslip.scheduling")
     private val pending = HashMap<MachineName, PendingResponse>()
 
-    /** Machines sent to other controllers, while nobody can say whether there is another leader. */
-    private val redirected = HashSet<MachineName>()
+    /** Machines redirected to other controllers, while it is not known whether there is another leader. */
+    private val redirectedMachines = HashSet<MachineName>()
     private val heartbeats = metrics.counter("umberslip.reports")
     private val starts = metrics.counter("umberslip.starts")
 
-    /** True where the heartbeat was accepted, so that its response is pending; else it is answered already. */
+    /** Processes a heartbeat. Returns true if it was accepted and its response is pending, false if it is answered. */
     fun receive(
         scheduler: SchedulerState?,
         message: LeaderMessage.HeartbeatReceived,
@@ -49,7 +49,7 @@
         }
         heartbeats.increment()
         val heartbeat = message.heartbeat
-        if (redirects(heartbeat.machineName, now)) {
+        if (shouldRedirect(heartbeat.machineName, now)) {
             respond(Response.MISDIRECTED)
             return false
         }
@@ -64,14 +64,15 @@
                 respond(Response(200, HeartbeatResponse(scheduler.term).toMap()))
             }
             HeartbeatDisposition.ACCEPTED -> {
-                await(heartbeat, respond, now)
+                holdResponse(heartbeat, respond, now)
                 return true
             }
         }
         return false
     }
 
-    private fun await(
+    /** Holds back the response to [heartbeat], and refuses a former heartbeat whose response is still pending. */
+    private fun holdResponse(
         heartbeat: Heartbeat,
         respond: (Response) -> Unit,
         now: Duration,
@@ -81,22 +82,23 @@
     }
 
     /**
-     * Past its lease and with no other controller in reach, a leader may have a successor that its workers would find.
-     * It redirects each worker once; one that comes back found no other leader, and is answered that time, so that its
-     * lease is renewed where the key-value store is unavailable to all.
+     * Whether the worker is redirected to other controllers. A leader that may no longer start tasks and reaches no
+     * other controller may have a successor that its workers can find. It redirects each worker once. A worker that
+     * comes back has found no other leader and is answered that time, so that its lease is renewed if the key-value
+     * store is unavailable to all controllers.
      */
-    private fun redirects(
+    private fun shouldRedirect(
         machineName: MachineName,
         now: Duration,
     ): Boolean {
         if (leaderLease.mayStart(now) || peerHealth() != PeerHealth.UNREACHABLE) {
-            redirected.clear()
+            redirectedMachines.clear()
             return false
         }
-        return redirected.add(machineName) || !redirected.remove(machineName)
+        return redirectedMachines.add(machineName) || !redirectedMachines.remove(machineName)
     }
 
-    /** Sends the pending response of [machine], if there is one, with the commands that are due. */
+    /** Answers the pending heartbeat of [machine], if there is one, with its commands, or refuses the heartbeat. */
     fun respond(
         scheduler: SchedulerState,
         machine: Machine,
@@ -133,7 +135,7 @@
         }
     }
 
-    /** Sends the pending responses that may wait no longer; starts that are not recorded yet are not in them. */
+    /** Sends the pending responses whose deadline has passed, without the starts that are not recorded yet. */
     fun respondToOverdue(
         scheduler: SchedulerState,
         now: Duration,
@@ -150,7 +152,7 @@
     }
 
     private companion object {
-        /** Well within the 4 s that a worker waits for a response, even when the tick after it is late. */
+        /** Well within the 4 s that a worker waits for a response, even if the tick that sends the response is late. */
         val MAX_RESPONSE_TIME = 1200.milliseconds
         val REFUSED = Response.retryAfter(1, "not the owner, or an old report")
     }
--- a/src/main/kotlin/umberslip/scheduling/InterruptionDraining.kt
+++ b/src/main/kotlin/umberslip/scheduling/InterruptionDraining.kt
@@ -6,14 +6,14 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Stops tasks of a spot instance with an interruption notice as late as they can still save a checkpoint. Others run
- * until the interruption. Pure: time is an input.
+ * Drains spot instances with an interruption notice. Tasks that can save a checkpoint are stopped as late as the time
+ * for saving it allows; other tasks run until the interruption. Pure: time is an input.
  */
 internal class InterruptionDraining(
     private val settings: WorkerSettings,
     private val timings: Timings,
 ) {
-    /** Stops the tasks for which it is time; called on every tick for each machine. */
+    /** Requests the stops that are due on [machine]. Called on every tick for each machine. */
     fun check(
         machine: Machine,
         now: Duration,
@@ -23,9 +23,9 @@
             val spec = assignment.job.spec
             if (assignment.reserved || assignment.gracePeriod != null || spec.checkpointIntervalSeconds <= 0) continue
             val saveTime = spec.checkpointSaveSeconds.seconds
-            // The command waits for a heartbeat, and the worker acts on it with the next one at the latest.
-            val needed = saveTime + settings.heartbeatInterval * 2 + timings.margin * 2
-            if (interruptionAt - now <= needed) assignment.requestStop(saveTime)
+            // The command waits for the next heartbeat, and the worker executes it by the heartbeat after that.
+            val stopLeadTime = saveTime + settings.heartbeatInterval * 2 + timings.margin * 2
+            if (interruptionAt - now <= stopLeadTime) assignment.requestStop(saveTime)
         }
     }
 }
--- a/src/main/kotlin/umberslip/scheduling/LeaseExpiry.kt
+++ b/src/main/kotlin/umberslip/scheduling/LeaseExpiry.kt
@@ -7,11 +7,11 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Requeues the tasks of a machine once all leases that it can have are expired, so that no task runs twice.
+ * Requeues the tasks of a machine once every lease that its worker may hold has expired, so that no task runs twice.
  *
- * The leases that the leader renewed are not enough: a follower may have renewed them since, on behalf of a zone that
- * is cut off. So lease renewal is revoked for the machine first. A heartbeat that a follower answers was sent before
- * the revocation was written, or is answered no more. Pure: time is an input.
+ * The expiry of the leases renewed by the leader is not sufficient: a follower may have renewed the lease of a machine
+ * in a partitioned zone since then. Lease renewal is therefore revoked for the machine first. A follower answers only
+ * heartbeats that were sent before the revocation was written. Pure: time is an input.
  */
 internal class LeaseExpiry(
     private val scheduler: SchedulerState,
@@ -19,9 +19,11 @@
     timings: Timings,
 ) {
     private val log = LoggerFactory.getLogger("umberslip.scheduling")
-    private val revocationTime = timings.stretched(timings.lease) + timings.margin
 
-    /** [isZoneUnresponsive] says whether no machine of its zone has contact. */
+    /** The longest time for which a worker may rely on a lease that a follower renewed before the revocation. */
+    private val maxLeaseDuration = timings.stretched(timings.lease) + timings.margin
+
+    /** Checks one machine on every tick; [isZoneUnresponsive] returns whether no machine of its zone has contact. */
     fun check(
         machine: Machine,
         now: Duration,
@@ -37,7 +39,7 @@
             if (isLost(machine, now, isZoneUnresponsive)) scheduler.writeAheadLog.pendingRevocations += machine.name
             return
         }
-        if (now < renewalRevokedAt + revocationTime) return
+        if (now < renewalRevokedAt + maxLeaseDuration) return
         log.warn(
             "leases of an unresponsive machine expired: machine={} requeued_tasks={}",
             machine.name.value,
@@ -47,8 +49,9 @@
     }
 
     /**
-     * A zone that is unresponsive as a whole is cut off rather than lost, and works on inside. Machines without contact
-     * since the failover have no known zone; several of them are treated as one.
+     * Whether the machine is presumed lost. A zone that is unresponsive as a whole is probably partitioned, and its
+     * tasks run on. The zone of a machine without contact since the failover is not known; several such machines
+     * are treated as one zone.
      */
     private fun isLost(
         machine: Machine,
@@ -61,7 +64,7 @@
     }
 
     private companion object {
-        /** A zone that is cut off for longer is treated as lost, so that its work goes on elsewhere. */
+        /** A zone that is partitioned for longer is treated as lost, so that its tasks are placed elsewhere. */
         val MAX_ZONE_OUTAGE = 60.seconds
     }
 }
--- a/src/main/kotlin/umberslip/scheduling/Machine.kt
+++ b/src/main/kotlin/umberslip/scheduling/Machine.kt
@@ -12,113 +12,116 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** A machine as its heartbeats and the records show it. Mutable; used on the leader actor's thread only. */
+/** A machine as described by its heartbeats and the records. Mutable; used on the leader actor's thread only. */
 class Machine(
     val name: MachineName,
-    /** Label of the instance type; empty before the first heartbeat of a machine that only the records name. */
+    /** Label of the instance type; empty for a machine that only the records name until its first heartbeat. */
     var type: String,
-    /** Empty before the first heartbeat of a machine that only the records name. */
+    /** Empty for a machine that only the records name until its first heartbeat. */
     var zone: String,
     var spot: Boolean,
 ) {
     // ---- tasks and resources ----
 
-    /** Null until the cloud's list of instance types has [type]; nothing is placed before. */
+    /** Null until the cloud's list of instance types includes [type]; nothing is placed on the machine before that. */
     var instanceType: InstanceType? = null
         set(value) {
             field = value
             capacity = value?.resources
         }
 
-    /** All resources of the machine; null as long as [instanceType] is. */
+    /** The total resources of the machine; null while [instanceType] is null. */
     var capacity: Resources? = null
         private set
     private val assigned = LinkedHashMap<TaskId, Assignment>()
     val assignments: Map<TaskId, Assignment> get() = assigned
 
-    /** The resources of its [assignments]; updated with each of them, since every heartbeat asks for it. */
+    /** The sum of the resources of all [assignments]. It is kept up to date, since every heartbeat needs it. */
     var used: Resources = Resources.NONE
         private set
 
-    /** Exited tasks stay in heartbeats until their exit is stored; only then may the worker clear them. */
-    val awaitingClear = HashMap<TaskId, TaskExit>()
+    /**
+     * The exits of tasks that the worker still lists. A worker lists an exited task until it is commanded to clear it,
+     * which happens only once the exit is stored.
+     */
+    val exitsAwaitingClear = HashMap<TaskId, TaskExit>()
 
     /** The tasks in the newest heartbeat that carried the leader's own term. */
     var reported: Map<TaskId, ReportedTask> = emptyMap()
 
-    /** The images of its tasks. */
+    /** The images of its tasks, and the fetches that are still expected. */
     val images = MachineImages()
     private val heartbeatSize = HeartbeatSize()
 
     // ---- contact ----
 
-    /** That of the newest heartbeat; null before the first. */
+    /** The version of the newest heartbeat; null before the first. */
     var heartbeatVersion: HeartbeatVersion? = null
 
     /** Whether a heartbeat with the leader's own term has shown what is on the machine. */
     var isReconciled = false
 
-    /** Whether the newest heartbeat shows that the response to the one before arrived; else commands may be lost. */
+    /** Whether the newest heartbeat shows that the worker receives responses. If not, commands may be lost. */
     var receivesResponses = false
 
     /** When the first heartbeat with the leader's own term was received. */
-    var firstContact: Duration? = null
+    var firstContactAt: Duration? = null
 
-    /** When the machine was last known to receive responses; a heartbeat alone is no sign of life. */
-    var lastContact: Duration? = null
+    /** When the machine was last known to receive responses. A heartbeat alone does not show that it is up. */
+    var lastContactAt: Duration? = null
 
-    /** When a follower was last known to have renewed its lease; a hint, as followers report it with a delay. */
+    /** When a follower last reported that it renewed the lease; only a hint, since these reports are delayed. */
     var renewedByFollowerAt: Duration? = null
 
-    /** When its records were loaded; zero for a machine that the records did not name. */
+    /** When the records that name the machine were loaded; zero if none did. */
     var loadedAt: Duration = Duration.ZERO
 
-    /** From then on, every lease that the leader or a former one can have renewed has expired. */
+    /** The time by which every lease that this leader or a former one may have renewed has expired. */
     var leaseExpiry: Duration = Duration.ZERO
 
-    /** Since when it is certain that no follower renews its lease; null where one may. */
+    /** The time since which it is certain that no follower renews the lease; null while a follower may. */
     var renewalRevokedAt: Duration? = null
 
-    // ---- what keeps tasks away ----
+    // ---- placement restrictions ----
 
-    /** When the cloud interrupts this spot instance; null without a notice. */
+    /** When the cloud will interrupt this spot instance; null without an interruption notice. */
     var interruptionAt: Duration? = null
 
-    /** The provisioning plan has no use for the machine: it is terminated once it is empty. */
+    /** Whether the provisioning plan does not need the machine, which is then terminated once it is empty. */
     var isDraining = false
 
-    /** Its termination was requested: it gets no commands any more. */
+    /** Whether termination of the machine was requested. It gets no more commands from then on. */
     var isTerminating = false
 
-    /** It fails tasks of healthy jobs, so nothing more is placed on it. */
+    /** Whether tasks of healthy jobs fail on the machine, so that nothing more is placed on it. */
     var isQuarantined = false
 
-    /** Reserves the machine for a starving job; null where any may be placed. */
+    /** The reservation of the machine for one job; null if it is not reserved. */
     var reservation: Reservation? = null
         private set
 
     /** The job that the machine is reserved for. */
     val reservedFor: RunningJob? get() = reservation?.job
 
-    /** Nothing is placed before then, since the worker refused a task for lack of resources. */
+    /** Nothing is placed before this time, since the worker refused a task. */
     var noPlacementUntil: Duration = Duration.ZERO
 
-    /** The failures here of each job since the last success of any. */
+    /** The failures of each job on this machine since a task of any job last succeeded here. */
     val failures = HashMap<JobId, MachineFailures>()
 
-    /** Whether nothing forbids work here, except that the machine may be draining. */
+    /** Whether tasks may be placed on the machine; if it is draining, further limits apply. */
     val acceptsWork: Boolean
         get() = isReconciled && receivesResponses && !isTerminating && !isQuarantined && interruptionAt == null
 
-    /** Whether any work may be placed here. */
+    /** Whether tasks may be placed on the machine without the limits of a draining one. */
     val isUsable: Boolean get() = acceptsWork && !isDraining
 
-    /** Reserves the machine for a starving job. */
+    /** Reserves the machine for the reservation's job. */
     fun reserve(reservation: Reservation) {
         this.reservation = reservation
     }
 
-    /** Ends the reservation, which the machine must have, for [reason]. */
+    /** Ends the reservation and logs its end with [reason]. */
     fun endReservation(
         reason: String,
         now: Duration,
@@ -128,8 +131,9 @@
     }
 
     /**
-     * How long until enough tasks are expected to have ended for [request] to fit, if nothing else is placed; null if
-     * it never fits. A task that runs longer than expected counts as ending soon.
+     * Returns the time until enough tasks are expected to have ended for [request] to fit, if nothing else is placed.
+     * Returns null if [request] never fits, or while [capacity] is null. A task that runs longer than expected is
+     * assumed to end soon.
      */
     fun timeUntilFree(
         request: Resources,
@@ -137,20 +141,23 @@
     ): Duration? {
         var free = freeResources() ?: return null
         if (free.covers(request)) return Duration.ZERO
-        val endings = assignments.values.map { it.expectedEnd(now) to it.resources }.sortedBy { (end, _) -> end }
-        for ((end, resources) in endings) {
+        val expectedEnds =
+            assignments.values
+                .map { it.expectedTimeLeft(now) to it.resources }
+                .sortedBy { (timeLeft, _) -> timeLeft }
+        for ((timeLeft, resources) in expectedEnds) {
             free += resources
-            if (free.covers(request)) return end
+            if (free.covers(request)) return timeLeft
         }
         return null
     }
 
-    private fun Assignment.expectedEnd(now: Duration): Duration {
+    private fun Assignment.expectedTimeLeft(now: Duration): Duration {
         val remaining = remainingRunTime(now) ?: job.expectedRunTime
         return remaining.coerceAtLeast(MIN_EXPECTED_REMAINING)
     }
 
-    /** Counts the task against the machine; one that is there already has no effect. */
+    /** Adds [assignment] and counts its resources. Has no effect if it was added before. */
     fun add(assignment: Assignment) {
         if (assigned.put(assignment.id, assignment) != null) return
         val spec = assignment.job.spec
@@ -159,31 +166,31 @@
         images.taskAdded(spec.image)
     }
 
-    /** Reverses [add]; an assignment that was replaced meanwhile has no effect. */
+    /** Reverses [add]. Has no effect if another assignment has replaced [assignment]. */
     fun remove(assignment: Assignment) {
         if (!assigned.remove(assignment.id, assignment)) return
         val spec = assignment.job.spec
-        // Once empty, it starts from zero again, so that rounding errors do not add up.
+        // Reset to zero once the machine is empty, so that rounding errors do not accumulate.
         used = if (assigned.isEmpty()) Resources.NONE else used - assignment.resources
         heartbeatSize.taskRemoved(spec)
         images.taskRemoved(spec.image)
     }
 
-    /** A heartbeat shows that a task runs here with this image. */
-    fun taskRuns(image: String) = images.taskRuns(image)
+    /** Notes that [image] is fetched, since a heartbeat shows a task that runs with it. */
+    fun imageFetched(image: String) = images.taskRuns(image)
 
-    /** Null as long as [capacity] is. */
+    /** Returns the resources that no assignment takes; null while [capacity] is null. */
     fun freeResources(): Resources? = capacity?.minus(used)
 
-    /** Whether heartbeats stay within the protocol's size with one more task of the job. */
-    fun fitsInHeartbeat(spec: JobSpec): Boolean = heartbeatSize.fits(spec, awaitingClear.size)
+    /** Whether the machine's heartbeats stay within the protocol's size limit with one more task of the job. */
+    fun fitsInHeartbeat(spec: JobSpec): Boolean = heartbeatSize.fits(spec, exitsAwaitingClear.size)
 
-    /** How long the job's image takes to fetch if nothing else is fetched, in seconds; zero where that is unknown. */
+    /** Returns the seconds that fetching the job's image takes if nothing else is fetched; zero if unknown. */
     fun fetchSeconds(spec: JobSpec): Double = instanceType?.let { spec.imageGb / it.fetchGbPerSecond } ?: 0.0
 
     /**
-     * How long a draining machine has to stay for the tasks that run on it; another task that ends within that time
-     * costs nothing more. Zero where it need not stay, or where it is not draining.
+     * Returns how long a draining machine has to be kept for the tasks that run on it. A further task that ends within
+     * this time causes no additional cost. Returns zero if the machine is not draining or need not be kept.
      */
     fun remainingDrainTime(now: Duration): Duration {
         if (!acceptsWork || !isDraining) return Duration.ZERO
@@ -198,19 +205,22 @@
         return assignment.remainingRunTime(now) ?: Duration.ZERO
     }
 
-    /** How long ago the machine last had contact with any controller, as far as that is known. */
+    /** Returns the time since the last known contact with any controller, or since the records were loaded if none. */
     fun timeSinceContact(now: Duration): Duration {
-        val withLeader = lastContact ?: loadedAt
-        return now - maxOf(withLeader, renewedByFollowerAt ?: Duration.ZERO)
+        val leaderContactAt = lastContactAt ?: loadedAt
+        return now - maxOf(leaderContactAt, renewedByFollowerAt ?: Duration.ZERO)
     }
 
     private companion object {
-        /** A task that runs longer than expected ends at an unknown time; it is taken to be at its end. */
+        /**
+         * The shortest remaining run time that is assumed. A task that runs longer than expected ends at an unknown
+         * time and is assumed to be near its end.
+         */
         val MIN_EXPECTED_REMAINING = 5.seconds
     }
 }
 
-/** How many bytes the tasks on a machine take in its heartbeats. */
+/** The size of a machine's tasks in its heartbeats, in bytes. */
 private class HeartbeatSize {
     private var taskBytes = 0
 
@@ -222,7 +232,10 @@
         taskBytes -= bytes(spec)
     }
 
-    /** [exitedTasks] were removed, and are listed until they are cleared. */
+    /**
+     * Whether a further task of the job fits. [exitedTasks] is the number of removed tasks that heartbeats list until
+     * they are cleared.
+     */
     fun fits(
         spec: JobSpec,
         exitedTasks: Int,
@@ -231,10 +244,10 @@
     private fun bytes(spec: JobSpec): Int = spec.id.value.length + TASK_BYTES
 
     private companion object {
-        /** The protocol's 64 KiB, less what a heartbeat contains besides its tasks. */
+        /** The protocol's limit of 64 KiB, less the part of a heartbeat that does not describe tasks. */
         const val MAX_HEARTBEAT_BYTES = 63 * 1024
 
-        /** A task in a heartbeat without its job's id: index, attempt, state, cause and names of fields. */
+        /** A task in a heartbeat without its job's id: its index, attempt, state, cause and field names. */
         const val TASK_BYTES = 100
         const val LONGEST_TASK_BYTES = TASK_BYTES + JobId.MAX_LENGTH
     }
--- a/src/main/kotlin/umberslip/scheduling/MachineHeartbeats.kt
+++ b/src/main/kotlin/umberslip/scheduling/MachineHeartbeats.kt
@@ -7,15 +7,15 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** Applies what a heartbeat says of the machine itself: its type and zone, contact, interruption notice. */
+/** Applies what a heartbeat says about the machine itself: type, zone, contact and interruption notice. */
 internal class MachineHeartbeats(
     private val instanceTypes: Map<String, InstanceType>,
     private val pendingRevocations: MutableSet<MachineName>,
 ) {
     private val log = LoggerFactory.getLogger("umberslip.scheduling")
 
-    /** Type, zone and version; also of heartbeats that carry an older fencing token. */
-    fun describe(
+    /** Updates the type, zone and heartbeat version, also from a heartbeat that carries an older fencing token. */
+    fun applyDescription(
         machine: Machine,
         heartbeat: Heartbeat,
     ) {
@@ -26,28 +26,28 @@
         machine.heartbeatVersion = heartbeat.heartbeatVersion
     }
 
-    /** Records do not say in which zone a machine is; the zones of its tasks are set by its first heartbeat. */
+    /** Sets the zone of the machine and of its tasks. The records do not name it, so its first heartbeat does. */
     private fun setZone(
         machine: Machine,
         zone: String,
     ) {
         machine.zone = zone
         for (former in machine.assignments.values.toList()) {
-            val moved = former.inZone(zone)
+            val replacement = former.withZone(zone)
             former.job.unplace(former)
             machine.remove(former)
-            former.job.place(moved)
-            machine.add(moved)
+            former.job.place(replacement)
+            machine.add(replacement)
         }
     }
 
-    /** Notes contact with the machine; only one that receives responses counts as alive. */
-    fun contact(
+    /** Notes contact with the machine. Only a machine that receives responses counts as up. */
+    fun recordContact(
         machine: Machine,
         now: Duration,
     ) {
-        if (machine.firstContact == null) {
-            machine.firstContact = now
+        if (machine.firstContactAt == null) {
+            machine.firstContactAt = now
             log.info(
                 "first heartbeat of a machine: machine={} type={} zone={} spot={}",
                 machine.name.value,
@@ -57,14 +57,17 @@
             )
         }
         if (machine.receivesResponses) {
-            machine.lastContact = now
+            machine.lastContactAt = now
             pendingRevocations -= machine.name
             machine.renewalRevokedAt = null
         }
     }
 
-    /** The notice counts from the first heartbeat that carries it; it is withdrawn by one without. */
-    fun interruptionNotice(
+    /**
+     * Applies the interruption notice of a heartbeat. Its time counts from the first heartbeat that carries the notice;
+     * a heartbeat without a notice withdraws it.
+     */
+    fun applyInterruptionNotice(
         machine: Machine,
         noticeSeconds: Double?,
         now: Duration,
--- a/src/main/kotlin/umberslip/scheduling/ReconciliationObserver.kt
+++ b/src/main/kotlin/umberslip/scheduling/ReconciliationObserver.kt
@@ -7,19 +7,19 @@
 import kotlin.time.Duration
 
 /**
- * Observes how the scheduler state of one term is reconciled with what is on the machines. Nothing that it does changes
- * a decision. Called on the leader actor's thread.
+ * Observes how the scheduler state of one term is reconciled with the tasks on the machines. It does not influence any
+ * decision. Called on the leader actor's thread.
  */
 interface ReconciliationObserver {
-    /** The records were loaded; [recordedTasks] has the number of recorded starts on each machine. */
+    /** Called when the records were loaded. [recordedTasks] is the number of recorded starts on each machine. */
     fun recordsLoaded(
         recordedTasks: Map<MachineName, Int>,
         now: Duration,
     )
 
     /**
-     * The first heartbeat of this term that shows what is on [machine] lists [reported]. Called before the scheduler
-     * state is changed by it.
+     * Called when the first heartbeat of this term shows that the tasks [reported] are on [machine], before the
+     * heartbeat changes any assignment.
      */
     fun machineReconciled(
         machine: Machine,
@@ -28,25 +28,25 @@
         now: Duration,
     )
 
-    /** Nothing is on the machine any more: it is terminated, or all its leases have expired. */
+    /** Called when no task is on the machine any more, since it is terminated or all its leases have expired. */
     fun machineLost(
         name: MachineName,
         now: Duration,
     )
 }
 
-/** Observes when this controller is elected and steps down. Called on the leader actor's thread. */
+/** Is notified when this controller is elected and when it steps down. Called on the leader actor's thread. */
 interface LeaderTermListener {
-    /** Returns the observer of the new term; null if it is not to be observed. */
+    /** Called when this controller is elected. Returns the observer of the new term; null if it is not observed. */
     fun elected(
         term: Term,
         now: Duration,
     ): ReconciliationObserver?
 
-    /** The controller does not lead any more; it may also be called if it did not lead. */
+    /** Called when this controller no longer leads. It may also be called if the controller did not lead before. */
     fun steppedDown()
 
-    /** Observes nothing. */
+    /** A listener that observes no term. */
     object None : LeaderTermListener {
         override fun elected(
             term: Term,
--- a/src/main/kotlin/umberslip/scheduling/SchedulerState.kt
+++ b/src/main/kotlin/umberslip/scheduling/SchedulerState.kt
@@ -21,9 +21,11 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * All that the leader of one term knows: jobs, machines and what is on them. It owns these collections and hands them
- * to the parts that decide. Nothing here waits or does input or output: time is an input of every call, and what
- * leaves the process does so through [writeAheadLog] and [commands]. Used on the leader actor's thread only.
+ * The scheduling state of the leader in one term: the jobs, the machines and the tasks assigned to them.
+ *
+ * It owns these collections and passes them to the classes that make the decisions. No call blocks or does input or
+ * output. Time is an input; records to be written and commands for workers are obtained from [writeAheadLog] and
+ * [commands]. Used on the leader actor's thread only.
  */
 class SchedulerState(
     private val settings: Settings,
@@ -37,22 +39,22 @@
     private val log = LoggerFactory.getLogger("umberslip.scheduling")
     private val tasksPerBlock = ProgressRecord.tasksPerBlock(settings.storeLimits.blockBytes)
 
-    /** How long a worker may rely on a renewal of its lease, by the slowest clock, with a margin. */
-    private val renewedLease = timings.stretched(timings.lease) + timings.margin
+    /** The longest time for which a worker may rely on a renewed lease, given the slowest clock and a margin. */
+    private val maxLeaseDuration = timings.stretched(timings.lease) + timings.margin
 
-    /** Accepted jobs that have not ended, in the order in which they became known. */
+    /** Accepted jobs that have not ended, in the order in which this leader learned of them. */
     val jobs = LinkedHashMap<JobId, RunningJob>()
     val dependencyGraph = DependencyGraph(jobs)
 
-    /** Machines that have sent a heartbeat, or that the records name, until they are terminated. */
+    /** Machines that have sent a heartbeat or are named by the records, and whose termination is not confirmed. */
     val machines = LinkedHashMap<MachineName, Machine>()
     private val terminatedMachines = HashSet<MachineName>()
     private val instanceTypes = HashMap<String, InstanceType>()
 
-    /** Images with which a task was placed on some machine, so that it has them or soon will. */
+    /** The images of all tasks placed so far. Each image is on some machine or will soon be fetched there. */
     private val cachedImages = HashSet<String>()
 
-    /** By name, in the order of the settings. */
+    /** The dispatchers of the teams by the team's name, in the order of the settings. */
     val teams: Map<String, Dispatcher> = settings.teams.associate { it.name to Dispatcher(it, cachedImages) }
     private val jobsOfUnknownTeams = HashSet<JobId>()
     private val jobObjectives = JobObjectives(settings.objectives)
@@ -70,14 +72,18 @@
     private val workerCommands = WorkerCommands(jobs)
     private val recordResolution = RecordResolution(jobs, assignments, writeAheadLog, ::updateJob, ::remove)
 
-    /** Later than any start that only a malformed entry of the log records can still be on a machine. */
+    /**
+     * Nothing is placed before this time. The starts in a malformed entry of the log are unknown, and their tasks may
+     * be on machines until all leases from former leaders have expired.
+     */
     private var noDispatchBefore: Duration = Duration.ZERO
 
     // ---- records of former leaders and of other controllers ----
 
     /**
-     * Takes the records as they stand. A machine that the records name holds its tasks until its heartbeat carries this
-     * term, or until [formerLeaseExpiry]: by then every lease that a former leader can have renewed has expired.
+     * Loads the current records. Recorded tasks stay assigned to their machine at least until one of its heartbeats
+     * carries this term, or until [formerLeaseExpiry], by which time every lease that a former leader may have renewed
+     * has expired.
      */
     fun load(
         records: RecordView,
@@ -92,20 +98,20 @@
         reconciliationObserver?.recordsLoaded(recordedTasks, now)
     }
 
-    /** Takes a job record that is new or has changed; one that is not newer than the known one has no effect. */
+    /** Applies a job record that is new or has changed. A record that is not newer than the held one has no effect. */
     fun jobChanged(
         id: JobId,
         record: Versioned<JobRecord>,
         now: Duration,
     ) {
-        val known = jobs[id]
-        if (known != null) {
-            if (record.version.value > known.record.version.value) updateJob(known, record)
+        val existing = jobs[id]
+        if (existing != null) {
+            if (record.version.value > existing.record.version.value) updateJob(existing, record)
             return
         }
         val team = record.value.spec.team
         if (team !in teams) {
-            if (jobsOfUnknownTeams.add(id)) log.error("job of a team without settings: job={} team={}", id.value, team)
+            if (jobsOfUnknownTeams.add(id)) log.error("job of an unknown team ignored: job={} team={}", id.value, team)
             return
         }
         val job = newJob(record, now)
@@ -148,7 +154,7 @@
         return job
     }
 
-    /** The job's record is not in the store any more. */
+    /** Removes a job whose record is no longer in the store. */
     fun jobRemoved(id: JobId) {
         jobs[id]?.let { remove(it) }
     }
@@ -164,7 +170,7 @@
         dependencyGraph.removed(job)
     }
 
-    /** Takes the recorded [outcome] of a job that others depend on. */
+    /** Applies the recorded [outcome] of a job that other jobs depend on. */
     fun dependencyEnded(
         id: JobId,
         outcome: JobOutcome,
@@ -178,14 +184,14 @@
         }
     }
 
-    /** Passes priorities and deadlines on to the jobs that others depend on, where that has changed. */
+    /** Updates the priorities and deadlines that jobs inherit from the jobs that depend on them. */
     fun inheritPriorities(now: Duration) {
         for ((job, inherited) in dependencyGraph.inheritPriorities()) {
             teams[job.spec.team]?.reinsert(job) { job.inherit(inherited.priority, inherited.deadlines, now) }
         }
     }
 
-    /** A follower has renewed these machines' leases on behalf of the leader. */
+    /** Notes that a follower has renewed the leases of these machines on behalf of the leader. */
     fun renewedByFollower(
         machineNames: Set<MachineName>,
         now: Duration,
@@ -193,7 +199,7 @@
         for (machineName in machineNames) machines[machineName]?.renewedByFollowerAt = now
     }
 
-    /** All instance types that the cloud offers now. */
+    /** Replaces the instance types by [all] that the cloud offers now. */
     fun setInstanceTypes(all: List<InstanceType>) {
         instanceTypes.clear()
         all.associateByTo(instanceTypes) { it.label }
@@ -202,39 +208,42 @@
 
     // ---- heartbeats and commands ----
 
-    /** Processes a worker's heartbeat as far as its disposition, which is returned, allows. */
+    /** Processes a worker's heartbeat as its disposition requires, and returns the disposition. */
     fun heartbeat(
         heartbeat: Heartbeat,
         now: Duration,
     ): HeartbeatDisposition {
-        val known = machines[heartbeat.machineName]
-        val disposition = dispositionOf(heartbeat, known)
+        val machine = machines[heartbeat.machineName]
+        val disposition = dispositionOf(heartbeat, machine)
         when (disposition) {
             HeartbeatDisposition.OUT_OF_DATE, HeartbeatDisposition.SUPERSEDED -> Unit
-            HeartbeatDisposition.TOKEN_BEHIND -> if (known != null) acceptDescription(known, heartbeat)
-            HeartbeatDisposition.ACCEPTED -> accept(known ?: addMachine(heartbeat), heartbeat, now)
+            HeartbeatDisposition.TOKEN_BEHIND -> if (machine != null) acceptDescription(machine, heartbeat)
+            HeartbeatDisposition.ACCEPTED -> accept(machine ?: addMachine(heartbeat), heartbeat, now)
         }
         return disposition
     }
 
     private fun dispositionOf(
         heartbeat: Heartbeat,
-        known: Machine?,
+        machine: Machine?,
     ): HeartbeatDisposition {
         if (heartbeat.machineName in terminatedMachines) return HeartbeatDisposition.OUT_OF_DATE
         if (heartbeat.fencingToken > term) return HeartbeatDisposition.SUPERSEDED
-        val last = known?.heartbeatVersion
-        if (last != null && heartbeat.heartbeatVersion <= last) return HeartbeatDisposition.OUT_OF_DATE
+        val newest = machine?.heartbeatVersion
+        if (newest != null && heartbeat.heartbeatVersion <= newest) return HeartbeatDisposition.OUT_OF_DATE
         if (heartbeat.fencingToken < term) return HeartbeatDisposition.TOKEN_BEHIND
         return HeartbeatDisposition.ACCEPTED
     }
 
-    /** The worker has turned to another leader meanwhile: what is on the machine is to be shown anew. */
+    /**
+     * Updates the machine from a heartbeat with an older fencing token. Its worker has turned to another leader
+     * meanwhile, so a heartbeat with this term has to show again what is on the machine.
+     */
     private fun acceptDescription(
         machine: Machine,
         heartbeat: Heartbeat,
     ) {
-        machineHeartbeats.describe(machine, heartbeat)
+        machineHeartbeats.applyDescription(machine, heartbeat)
         machine.isReconciled = false
     }
 
@@ -249,15 +258,17 @@
         heartbeat: Heartbeat,
         now: Duration,
     ) {
-        val last = machine.heartbeatVersion
-        // The worker stays with a controller only if its response arrived, and knows this term only from a response:
-        // so either shows that it receives responses. Heartbeats alone do not: the responses to them may be lost, and
+        val previous = machine.heartbeatVersion
+        // A worker stays with a controller only if it received the response, and learns this term only from a response.
+        // So a first heartbeat with this term, or one that directly follows the previous one, shows that the worker
+        // receives responses. Any other heartbeat does not: the response to the previous one may have been lost, and
         // copies of old heartbeats may arrive late.
-        machine.receivesResponses = !machine.isReconciled || last == null || heartbeat.heartbeatVersion.follows(last)
-        val isNewEpoch = machine.isReconciled && heartbeat.heartbeatVersion.epoch != last?.epoch
-        machineHeartbeats.describe(machine, heartbeat)
-        machineHeartbeats.contact(machine, now)
-        machineHeartbeats.interruptionNotice(machine, heartbeat.interruptionNoticeSeconds, now)
+        machine.receivesResponses =
+            !machine.isReconciled || previous == null || heartbeat.heartbeatVersion.follows(previous)
+        val isNewEpoch = machine.isReconciled && heartbeat.heartbeatVersion.epoch != previous?.epoch
+        machineHeartbeats.applyDescription(machine, heartbeat)
+        machineHeartbeats.recordContact(machine, now)
+        machineHeartbeats.applyInterruptionNotice(machine, heartbeat.interruptionNoticeSeconds, now)
         if (!machine.isReconciled) {
             reconciliationObserver?.machineReconciled(machine, heartbeat.tasks, jobs, now)
             machine.isReconciled = true
@@ -265,33 +276,36 @@
         heartbeatReconciliation.reconcile(machine, heartbeat, isNewEpoch, now)
     }
 
-    /** A response that renews the machine's lease is sent: the lease may last until [renewedLease] from now. */
+    /** Notes that a response is sent that renews the machine's lease, which may then last for [maxLeaseDuration]. */
     fun leaseRenewed(
         name: MachineName,
         now: Duration,
     ) {
-        machines[name]?.let { it.leaseExpiry = maxOf(it.leaseExpiry, now + renewedLease) }
+        machines[name]?.let { it.leaseExpiry = maxOf(it.leaseExpiry, now + maxLeaseDuration) }
     }
 
-    /** The commands that answer the newest heartbeat of a machine; starts are among them only if [mayStart]. */
+    /** Returns the commands that answer the newest heartbeat of [machine]. Starts are included only if [mayStart]. */
     fun commands(
         machine: Machine,
         mayStart: Boolean,
-    ): List<WorkerCommand> = workerCommands.of(machine, mayStart)
+    ): List<WorkerCommand> = workerCommands.commandsFor(machine, mayStart)
 
     // ---- placement and loss of machines ----
 
-    /** Places tasks on [machine]; false if [isOutOfTime] ended the round before all was placed that may be. */
+    /** Places tasks on [machine]. Returns false if [isOutOfTime] ended the round while more tasks might be placed. */
     fun dispatch(
         machine: Machine,
         now: Duration,
         isOutOfTime: () -> Boolean,
     ): Boolean = now < noDispatchBefore || dispatchRounds.run(machine, now, isOutOfTime)
 
-    /** Whether tasks were placed on [machine] whose starts are not stored yet. */
+    /** Whether the start of a task on [machine] is not stored yet. Tasks that only reserve resources do not count. */
     fun hasUnrecordedStarts(machine: Machine): Boolean = machine.assignments.values.any { !it.recorded && !it.reserved }
 
-    /** Nothing is on the machine any more: its tasks wait again. The machine may come back with its next heartbeat. */
+    /**
+     * Releases all tasks of a machine on which nothing runs any more, so that they wait to be placed again. The machine
+     * itself is kept and can be reconciled again by its next heartbeat.
+     */
     fun releaseTasks(
         machine: Machine,
         now: Duration,
@@ -301,11 +315,14 @@
         }
         reconciliationObserver?.machineLost(machine.name, now)
         machine.reported = emptyMap()
-        machine.awaitingClear.clear()
+        machine.exitsAwaitingClear.clear()
         machine.isReconciled = false
     }
 
-    /** The cloud has confirmed the termination of these machines: nothing is on them, and they never come back. */
+    /**
+     * Removes machines whose termination the cloud has confirmed, and releases their tasks. Late heartbeats of these
+     * machines are out of date.
+     */
     fun machinesTerminated(
         names: List<MachineName>,
         now: Duration,
@@ -320,7 +337,7 @@
 
     // ---- outcomes of writes ----
 
-    /** The store has applied [batch]; returns the machines of which starts are now recorded. */
+    /** Updates the state after the store has applied [batch]. Returns the machines that have newly recorded starts. */
     fun applied(
         batch: WriteBatch,
         version: Version,
@@ -335,7 +352,10 @@
         return machinesWithStarts
     }
 
-    /** No follower renews the lease from now on, provided that the record names the machine without a gap. */
+    /**
+     * Notes that no follower renews the machine's lease from now on, since the stored record names the machine. This is
+     * certain only while the record keeps naming it, so a revocation that is no longer pending has no effect.
+     */
     private fun renewalRevoked(
         machine: Machine,
         now: Duration,
@@ -345,8 +365,8 @@
     }
 
     /**
-     * Applies what the store shows under a key, after a failed precondition or a write with an indeterminate
-     * outcome: its [version] and [data], both null where the key does not exist.
+     * Applies the stored state of [key] after a failed precondition or a write with an indeterminate outcome. [version]
+     * and [data] are null if the key does not exist.
      */
     fun resolve(
         key: String,
@@ -355,7 +375,10 @@
     ) = recordResolution.resolve(key, version, data)
 
     private companion object {
-        /** Sequence numbers of the write-ahead log rise across terms: each term has so many bits for its own. */
+        /**
+         * The bits of a sequence number of the write-ahead log that count within a term. The bits above them hold the
+         * term, so sequence numbers rise across terms.
+         */
         const val SEQUENCE_BITS_PER_TERM = 32
     }
 }
--- a/src/main/kotlin/umberslip/scheduling/TaskExit.kt
+++ b/src/main/kotlin/umberslip/scheduling/TaskExit.kt
@@ -3,9 +3,10 @@
 import kotlin.time.Duration
 
 /**
- * The end of a task's attempt on its machine, to be recorded: the task exited, or is certainly not on the machine.
+ * The end of a task attempt on its machine, which is to be recorded: the task exited, or is certainly not on the
+ * machine.
  *
- * Made by [WriteAheadLog.ended]. Confined to the leader actor.
+ * Created by [WriteAheadLog.ended]. Confined to the leader actor.
  */
 class TaskExit(
     val job: RunningJob,
@@ -13,17 +14,17 @@
     val attempt: Long,
     /** Whether the task completed successfully; otherwise it waits to be placed again. */
     val done: Boolean,
-    /** The edit of its progress block that stands for it. */
+    /** The edit of the task's progress block that includes the exit. */
     private val edit: BlockEdit,
-    /** When the leader received it, or became certain of it. */
+    /** When the leader received the exit, or became certain of it. */
     val since: Duration,
 ) {
     private var isLogged = false
 
-    /** Whether the log or the block's record holds it: the worker may be commanded to clear the task. */
+    /** Whether the exit is stored in the log or the progress record, so that the worker may clear the task. */
     val isRecorded: Boolean get() = isLogged || edit.block.isInRecord(edit.edit)
 
-    /** The log holds it. */
+    /** Notes that the exit is stored in the log. */
     fun logged() {
         isLogged = true
     }
--- a/src/main/kotlin/umberslip/scheduling/WorkerCommands.kt
+++ b/src/main/kotlin/umberslip/scheduling/WorkerCommands.kt
@@ -13,40 +13,40 @@
     private val jobs: Map<JobId, RunningJob>,
 ) {
     /**
-     * The commands that answer the newest heartbeat of [machine]; starts are among them only if [mayStart]. They are
-     * repeated until a heartbeat shows that they were carried out.
+     * Returns the commands that answer the newest heartbeat of [machine]. Starts are included only if [mayStart].
+     * Commands are repeated until a heartbeat shows that they were executed.
      */
-    fun of(
+    fun commandsFor(
         machine: Machine,
         mayStart: Boolean,
     ): List<WorkerCommand> {
         if (!machine.isReconciled || machine.isTerminating) return emptyList()
         val commands = ArrayList<WorkerCommand>()
-        // The worker refuses a task whose former attempt it still lists.
-        val uncleared = HashSet<TaskId>()
+        // Starts that are not sent yet, since a worker refuses a task of which it still lists a former attempt.
+        val blockedStarts = HashSet<TaskId>()
         for (reported in machine.reported.values) {
             val assignment = machine.assignments[reported.task]
             if (assignment != null && assignment.attempt == reported.attempt) {
-                stop(assignment)?.let { commands += it }
+                stopCommand(assignment)?.let { commands += it }
             } else if (reported.status != TaskState.EXITED) {
-                uncleared += reported.task
+                blockedStarts += reported.task
                 commands += WorkerCommand.Stop(reported.task, reported.attempt, 0.0)
             } else if (isSuperseded(reported) || isExitRecorded(machine, reported)) {
                 commands += WorkerCommand.Clear(reported.task, reported.attempt)
             } else {
-                uncleared += reported.task
+                blockedStarts += reported.task
             }
         }
-        if (mayStart) addStarts(machine, uncleared, commands)
+        if (mayStart) addStarts(machine, blockedStarts, commands)
         return commands
     }
 
-    private fun stop(assignment: Assignment): WorkerCommand.Stop? {
+    private fun stopCommand(assignment: Assignment): WorkerCommand.Stop? {
         val gracePeriod = if (assignment.job.cancelled) Duration.ZERO else assignment.gracePeriod ?: return null
         return WorkerCommand.Stop(assignment.id, assignment.attempt, gracePeriod.toDouble(DurationUnit.SECONDS))
     }
 
-    /** A later start of the task is recorded, so the exit of this one is of no interest. */
+    /** Whether a later start of the task is recorded, so that the exit of this attempt need not be recorded. */
     private fun isSuperseded(reported: ReportedTask): Boolean {
         val assignment = jobs[reported.task.job]?.assigned?.get(reported.task.index) ?: return false
         return assignment.recorded && assignment.attempt > reported.attempt
@@ -56,25 +56,25 @@
         machine: Machine,
         reported: ReportedTask,
     ): Boolean {
-        val exit = machine.awaitingClear[reported.task] ?: return true
+        val exit = machine.exitsAwaitingClear[reported.task] ?: return true
         return exit.attempt != reported.attempt || exit.isRecorded
     }
 
     private fun addStarts(
         machine: Machine,
-        uncleared: Set<TaskId>,
+        blockedStarts: Set<TaskId>,
         commands: MutableList<WorkerCommand>,
     ) {
         for (assignment in machine.assignments.values) {
             if (commands.size >= MAX_COMMANDS) return
             if (!assignment.recorded || assignment.job.cancelled || assignment.gracePeriod != null) continue
-            if (assignment.isReported || assignment.id in uncleared) continue
+            if (assignment.isReported || assignment.id in blockedStarts) continue
             commands += WorkerCommand.Start(assignment.id, assignment.attempt)
         }
     }
 
     private companion object {
-        /** Keeps a response within the size that the protocol allows. */
+        /** Keeps a response within the protocol's size limit. */
         const val MAX_COMMANDS = 300
     }
 }
--- a/src/main/kotlin/umberslip/scheduling/WorkerContact.kt
+++ b/src/main/kotlin/umberslip/scheduling/WorkerContact.kt
@@ -4,7 +4,7 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** Distinguishes a zone or a leader that is cut off from machines that are lost. Pure: time is an input. */
+/** Distinguishes a partition of a zone or of the leader from the loss of machines. Pure: time is an input. */
 internal class WorkerContact(
     private val scheduler: SchedulerState,
     private val settings: WorkerSettings,
@@ -12,14 +12,15 @@
     private var lostSince: Duration? = null
 
     /**
-     * Whether hardly any of the machines that had contact in this term has it now, and for a while: then it is the
-     * leader that cannot be reached, since neither a cut zone nor a wave of losses takes all at once.
+     * Whether the leader has lost contact with nearly all machines that had contact in this term, for at least
+     * [MIN_LOST_TIME]. Then it is the leader that cannot be reached, since neither the partition of one zone nor a wave
+     * of machine losses affects all machines at once.
      */
     fun isLost(now: Duration): Boolean {
-        val recent = now - settings.heartbeatInterval * RECENT_HEARTBEATS
-        val contacts = scheduler.machines.values.mapNotNull { it.lastContact }
-        val recentContacts = contacts.count { it > recent }
-        if (contacts.size < MIN_MACHINES || recentContacts * LOST_RATIO >= contacts.size) {
+        val recentAfter = now - settings.heartbeatInterval * RECENT_HEARTBEATS
+        val lastContacts = scheduler.machines.values.mapNotNull { it.lastContactAt }
+        val recentContacts = lastContacts.count { it > recentAfter }
+        if (lastContacts.size < MIN_MACHINES || recentContacts * LOST_RATIO >= lastContacts.size) {
             lostSince = null
             return false
         }
@@ -28,7 +29,7 @@
         return now - since >= MIN_LOST_TIME
     }
 
-    /** Zones with several machines none of which had contact for half a lease. */
+    /** Returns the zones with several machines of which none has had contact with any controller for half a lease. */
     fun unresponsiveZones(now: Duration): Set<String> =
         scheduler.machines.values
             .groupBy { it.zone }
@@ -41,16 +42,18 @@
     ): Boolean = machine.timeSinceContact(now) > settings.lease / 2
 
     private companion object {
-        /** One heartbeat may be delayed and one response lost. */
+        /**
+         * A contact within this many heartbeat intervals is recent: one heartbeat may be delayed and one response lost.
+         */
         const val RECENT_HEARTBEATS = 3
 
-        /** With fewer machines their loss is as likely as the leader's. */
+        /** With fewer machines, losing all of them is as likely as a partition of the leader. */
         const val MIN_MACHINES = 4
 
-        /** Fewer than one in so many is hardly any. */
+        /** Contact counts as lost if fewer than one in this many machines has recent contact. */
         const val LOST_RATIO = 10
 
-        /** Long enough that one late tick does not decide. */
+        /** Long enough that a single late tick is not taken for lost contact. */
         val MIN_LOST_TIME = 1.seconds
     }
 }
--- a/src/test/kotlin/umberslip/scheduling/DrainingTest.kt
+++ b/src/test/kotlin/umberslip/scheduling/DrainingTest.kt
@@ -6,7 +6,7 @@
 import umberslip.agents.WorkerCommand
 import kotlin.time.Duration.Companion.seconds
 
-/** Machines that are to be terminated, or interrupted by the cloud. */
+/** Tests machines that are to be terminated, or interrupted by the cloud. */
 class DrainingTest {
     private val leader = TestScheduler()
 
@@ -28,7 +28,7 @@
     fun `a machine with an interruption notice gets no work and saves checkpoints in time`() {
         val job = leader.job { it.copy(checkpointIntervalSeconds = 30.0, checkpointSaveSeconds = 4.0) }
         leader.startAll(job)
-        leader.heartbeat("m", *job.placedTasks().map(::running).toTypedArray(), warning = 12.0)
+        leader.heartbeat("m", *job.placedTasks().map(::running).toTypedArray(), noticeSeconds = 12.0)
         leader.tick()
         assertEquals(emptyList<WorkerCommand>(), leader.commands("m"))
         leader.now += 6.seconds
@@ -37,7 +37,7 @@
     }
 
     @Test
-    fun `a draining machine takes only what ends before it can be terminated`() {
+    fun `a draining machine takes only tasks that end before it can be terminated`() {
         val long = leader.job { it.copy(tasks = 1, expectedSeconds = 100.0) }
         leader.startAll(long)
         leader.machine("m").isDraining = true
--- a/src/test/kotlin/umberslip/scheduling/FailureTrackerTest.kt
+++ b/src/test/kotlin/umberslip/scheduling/FailureTrackerTest.kt
@@ -10,28 +10,29 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Faulty jobs fail on every machine until they are cancelled. On the operators' standard day such jobs had 58 healthy
- * machines quarantined, and all their tasks were started anew at every try.
+ * Guards against the quarantine of healthy machines because of faulty jobs, which fail on every machine until they are
+ * cancelled. On the operators' standard day, such jobs had caused the quarantine of 58 healthy machines, and all their
+ * tasks were restarted at every try.
  */
 class FailureTrackerTest {
     private val leader = TestScheduler()
-    private val broken = HashSet<RunningJob>()
+    private val faultyJobs = HashSet<RunningJob>()
     private val faultyMachines = HashSet<String>()
     private val cluster =
         BusyCluster(leader, machines = 8) { task ->
-            val fails = task.job in broken || task.machineName.value in faultyMachines
+            val fails = task.job in faultyJobs || task.machineName.value in faultyMachines
             if (fails) FAILS_AFTER else null
         }
 
-    private fun pass(seconds: Int) =
+    private fun advance(seconds: Int) =
         repeat(seconds) {
             leader.now += 1.seconds
             cluster.step()
         }
 
-    private fun brokenJob(tasks: Int): RunningJob {
+    private fun faultyJob(tasks: Int): RunningJob {
         val job = leader.job { it.copy(tasks = tasks, priority = Priority.HIGH) }
-        broken += job
+        faultyJobs += job
         return job
     }
 
@@ -41,31 +42,31 @@
             .map { it.name.value }
 
     @Test
-    fun `jobs that fail everywhere quarantine no machine, and others run on`() {
-        repeat(4) { brokenJob(tasks = 20 + it) }
+    fun `jobs that fail everywhere cause no machine to be quarantined, and other jobs complete`() {
+        repeat(4) { faultyJob(tasks = 20 + it) }
         val healthy = List(10) { leader.job { job -> job.copy(tasks = 30) } }
-        pass(120)
+        advance(120)
         assertEquals(emptyList<String>(), quarantinedMachines())
         assertTrue(healthy.all { it.finished }, "healthy jobs are done")
     }
 
     @Test
-    fun `a job that fails everywhere is tried one task at a time, ever more rarely, and never given up`() {
-        val job = brokenJob(tasks = 60)
-        pass(30)
+    fun `a job that fails everywhere is retried one task at a time, at growing intervals, without end`() {
+        val job = faultyJob(tasks = 60)
+        advance(30)
         val startsOfFirstWave = cluster.starts
         assertTrue(startsOfFirstWave <= 130, "$startsOfFirstWave starts in the first wave")
-        pass(300)
+        advance(300)
         assertTrue(cluster.starts - startsOfFirstWave in 3..12, "${cluster.starts - startsOfFirstWave} further tries")
-        broken.clear()
-        pass(150)
-        assertTrue(job.finished, "it runs once it no longer fails")
+        faultyJobs.clear()
+        advance(150)
+        assertTrue(job.finished, "the job runs once it no longer fails")
     }
 
     @Test
-    fun `a quarantined job is a reason for one machine at most`() {
-        val job = brokenJob(tasks = 200)
-        pass(20)
+    fun `the pending work contains at most one task of a quarantined job`() {
+        val job = faultyJob(tasks = 200)
+        advance(20)
         assertTrue(job.isQuarantined)
         leader.now = job.retryAfter + 1.seconds
         val waiting = ClusterSnapshot.of(leader.scheduler, leader.now).waiting
@@ -73,12 +74,12 @@
     }
 
     @Test
-    fun `machines that fail the tasks of all jobs are quarantined, also before any job has succeeded`() {
+    fun `machines on which the tasks of all jobs fail are quarantined, even before any job has succeeded`() {
         faultyMachines += listOf("m2", "m5")
         val jobs = List(6) { leader.job { job -> job.copy(tasks = 20, expectedSeconds = 40.0) } }
-        pass(30)
+        advance(30)
         assertEquals(listOf("m2", "m5"), quarantinedMachines().sorted())
-        pass(300)
+        advance(300)
         assertTrue(jobs.all { it.finished }, "all jobs are done")
         assertEquals(listOf("m2", "m5"), quarantinedMachines().sorted())
     }
@@ -87,13 +88,13 @@
     fun `a task that keeps running shows that its job is healthy`() {
         faultyMachines += listOf("m0", "m1")
         val job = leader.job { it.copy(tasks = 3, cpus = 16.0, expectedSeconds = 200.0) }
-        pass(60)
+        advance(60)
         assertFalse(job.isQuarantined)
-        assertEquals(3, job.assigned.size, "the failed tasks are tried again beside the one that runs")
+        assertEquals(3, job.assigned.size, "the failed tasks are retried while one is running")
     }
 
     @Test
-    fun `a machine that fails everything is distinguished from a job that fails everywhere`() {
+    fun `a machine on which every task fails is distinguished from a job that fails everywhere`() {
         val healthy = leader.job()
         leader.startAll(healthy)
         val reported = healthy.placedTasks().map { if (it.index == 0) ended(it, ExitCause.DONE) else running(it) }
@@ -107,7 +108,7 @@
             faulty.placedTasks().forEach { leader.heartbeat(machineName, ended(it, ExitCause.ERROR)) }
         }
         assertFalse(leader.machine("x").isQuarantined || leader.machine("y").isQuarantined)
-        assertTrue(faulty.retryAfter > leader.now, "the job waits")
+        assertTrue(faulty.retryAfter > leader.now, "the job is backed off")
         leader.heartbeat("z")
         leader.dispatch("z")
         assertEquals(0, faulty.assigned.size)
@@ -119,7 +120,7 @@
         leader.write()
         val failed = (one.placedTasks() + two.placedTasks()).map { ended(it, ExitCause.ERROR) }
         leader.heartbeat("z", *failed.toTypedArray())
-        // Both jobs may be faulty; their next tries elsewhere have time to show it.
+        // Both jobs may be faulty; they get time to show it by their next tries on other machines.
         assertFalse(leader.machine("z").isQuarantined)
         leader.now += 4.seconds
         leader.tick()
--- a/src/test/kotlin/umberslip/scheduling/HeartbeatReconciliationTest.kt
+++ b/src/test/kotlin/umberslip/scheduling/HeartbeatReconciliationTest.kt
@@ -17,12 +17,12 @@
 import kotlin.random.Random
 import kotlin.time.Duration.Companion.seconds
 
-/** What a heartbeat shows of a machine and its tasks, and what it does not. */
+/** Tests what heartbeats show about a machine and its tasks, and which heartbeats must not be trusted. */
 class HeartbeatReconciliationTest {
     private val leader = TestScheduler()
 
     @Test
-    fun `a heartbeat with an older fencing token or sequence number shows nothing`() {
+    fun `a heartbeat with an older fencing token or sequence number changes no assignment`() {
         val job = leader.job()
         leader.startAll(job)
         assertEquals(HeartbeatDisposition.OUT_OF_DATE, leader.heartbeat("m", sequenceNumber = 1))
@@ -45,7 +45,7 @@
         val commands: List<WorkerCommand>,
     )
 
-    /** What really is on a machine, and what is under way to and from it. */
+    /** The actual state of a machine, and the messages in transit to and from it. */
     private class ActualMachine(
         var fencingToken: Term,
     ) {
@@ -70,7 +70,7 @@
         }
     }
 
-    /** A machine and its leaders, with failovers, cancellations, and heartbeats and responses that are late or lost. */
+    /** A random history of a machine and its leaders, with failovers, cancellations, and late or lost messages. */
     private class History(
         private val random: Random,
     ) {
@@ -79,7 +79,7 @@
         private val jobs =
             List(4) { leader.job { it.copy(tasks = 3, cpus = 0.5, memoryGb = 0.1) } }.map { it.spec.id }
 
-        /** How many heartbeats of former terms arrived. */
+        /** The number of heartbeats of former terms that arrived. */
         var tokensBehind = 0
             private set
 
@@ -92,7 +92,7 @@
                 3 -> deliverDelayedResponse()
                 else -> heartbeat()
             }
-            for ((task, attempt) in machine.attempts) checkIsHeld(task, attempt)
+            for ((task, attempt) in machine.attempts) checkIsAssigned(task, attempt)
         }
 
         private fun deliverDelayedResponse() {
@@ -105,7 +105,7 @@
             val attempts = machine.attempts.toMap()
             val heartbeat = DelayedHeartbeat(++machine.sequenceNumber, machine.fencingToken, attempts)
             if (random.nextInt(3) == 0) machine.delayedHeartbeats += heartbeat
-            // Delayed before it arrives, or answered; the response may be lost.
+            // The heartbeat is lost or arrives only later, or it is answered now; the response may be lost.
             if (random.nextInt(5) > 0) deliver(heartbeat, responseArrives = random.nextInt(5) > 0)
         }
 
@@ -133,7 +133,7 @@
             machine.delayedResponse = if (responseArrives) null else DelayedResponse(leader.term, commands)
         }
 
-        private fun checkIsHeld(
+        private fun checkIsAssigned(
             task: TaskId,
             attempt: Long,
         ) {
@@ -141,13 +141,13 @@
             val assignment = job?.assigned?.get(task.index)
             assertTrue(
                 assignment?.machineName == MachineName("m") && assignment.attempt == attempt,
-                "$task is on the machine and not held for it",
+                "$task is on the machine but not assigned to it",
             )
         }
     }
 
     @Test
-    fun `what is on a machine is held for it whatever heartbeats of former terms arrive`() =
+    fun `tasks on a machine stay assigned to it whichever heartbeats of former terms arrive`() =
         runBlocking<Unit> {
             var tokensBehind = 0
             checkAll(PropTestConfig(seed = 5, iterations = 300), Arb.long()) { seed ->
@@ -159,11 +159,11 @@
         }
 
     @Test
-    fun `a machine that does not receive responses gets no new work and does not count as alive`() {
+    fun `a machine that does not receive responses gets no new work and does not count as up`() {
         val first = leader.job { it.copy(tasks = 1) }
         leader.startAll(first)
         leader.now += 5.seconds
-        // The sequence number has moved on by more than one: the worker was elsewhere, so no response reached it.
+        // The sequence number rose by more than one: the worker was at another controller, so no response reached it.
         leader.heartbeat("m", *first.placedTasks().map(::running).toTypedArray(), sequenceNumber = 5)
         leader.job { it.copy(tasks = 2) }
         leader.dispatch("m")
@@ -182,7 +182,7 @@
     }
 
     @Test
-    fun `late copies of heartbeats add no machine, renew nothing and show nothing`() {
+    fun `late copies of heartbeats add no machine, count as no contact and change no assignment`() {
         val ofFormerTerm = leader.heartbeat("unknown", fencingToken = Term(4), sequenceNumber = 7)
         assertEquals(HeartbeatDisposition.TOKEN_BEHIND, ofFormerTerm)
         assertNull(leader.scheduler.machines[MachineName("unknown")], "a copy from before this term")
--- a/src/test/kotlin/umberslip/scheduling/LeaseExpiryTest.kt
+++ b/src/test/kotlin/umberslip/scheduling/LeaseExpiryTest.kt
@@ -9,12 +9,12 @@
 import umberslip.store.Write
 import kotlin.time.Duration.Companion.seconds
 
-/** When the tasks of an unresponsive machine are queued again, and when the leader is the one cut off. */
+/** Tests when the tasks of an unresponsive machine are requeued, and when the leader detects its own partition. */
 class LeaseExpiryTest {
     private val leader = TestScheduler()
 
     @Test
-    fun `an unresponsive machine's tasks are held until its leases expire or its termination is confirmed`() {
+    fun `an unresponsive machine's tasks stay assigned until its leases expire or its termination is confirmed`() {
         val job = leader.job()
         leader.startAll(job)
         leader.scheduler.leaseRenewed(MachineName("m"), leader.now)
@@ -42,9 +42,9 @@
     }
 
     @Test
-    fun `a leader that no worker reaches any more detects it`() {
-        // Found on a recorded day: the others sent every worker back to it until all leases had expired.
-        fun all() = listOf("a", "b", "c", "d", "e").forEach { leader.heartbeat(it) }
+    fun `a leader that no worker reaches any more detects the loss of contact`() {
+        // Found on a recorded day: the other controllers sent every worker back to it until all leases had expired.
+        fun heartbeatAll() = listOf("a", "b", "c", "d", "e").forEach { leader.heartbeat(it) }
 
         fun lostWithin(seconds: Int): Boolean =
             (1..seconds).any {
@@ -52,9 +52,9 @@
                 leader.hasLostWorkers()
             }
         assertFalse(lostWithin(10), "no machine has had contact yet")
-        all()
+        heartbeatAll()
         assertFalse(lostWithin(2))
-        all()
+        heartbeatAll()
         assertFalse(leader.hasLostWorkers())
         assertTrue(lostWithin(5))
         leader.heartbeat("a", sequenceNumber = 9)
@@ -63,11 +63,11 @@
     }
 
     @Test
-    fun `revoked lease renewals stay recorded until contact, when they are more than one value holds`() {
-        // A record that names others instead would let any follower renew the first ones' leases again.
+    fun `revoked lease renewals stay recorded until contact even if not all of them fit into one value`() {
+        // If the record named other machines instead, any follower could renew the leases of the first ones again.
         val names = List(300) { "host-%06d".format(it) }
 
-        fun named() =
+        fun recordedNames() =
             (leader.written.last { it.key == Keys.REVOKED_RENEWALS } as Write.Put).data.getValue("hosts").let { all ->
                 (all as List<*>).map { it as String }
             }
@@ -81,14 +81,14 @@
         leader.now += 100.seconds
         leader.tick()
         leader.write()
-        val first = named()
+        val first = recordedNames()
         assertTrue(first.size in 100..299, "${first.size} are named")
         leader.heartbeat(first[0], sequenceNumber = 5)
         leader.heartbeat(first[0], sequenceNumber = 6)
         leader.now += 1.seconds
         leader.tick()
         leader.write()
-        assertEquals(first.drop(1), named().take(first.size - 1))
-        assertEquals(first.size, named().size, "the next takes the free place")
+        assertEquals(first.drop(1), recordedNames().take(first.size - 1))
+        assertEquals(first.size, recordedNames().size, "the next machine takes the free place")
     }
 }
--- a/src/test/kotlin/umberslip/scheduling/TestScheduler.kt
+++ b/src/test/kotlin/umberslip/scheduling/TestScheduler.kt
@@ -32,8 +32,8 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * The scheduler state of a leader, with machines that send a heartbeat when a test does so, a clock that a test
- * advances through [now], and a key-value store that applies every batch on [write].
+ * The scheduler state of a leader for tests, which send the heartbeats of machines through [heartbeat], advance the
+ * clock through [now], and have the key-value store apply all batches that are due through [write].
  */
 class TestScheduler(
     val term: Term = Term(5),
@@ -51,7 +51,7 @@
     private val maintenance = Maintenance(scheduler, settings, timings)
     var now: Duration = 100.seconds
 
-    /** That of the store's newest write. */
+    /** The version of the store's newest write. */
     var version = 100L
     private val sequenceNumbers = HashMap<MachineName, Long>()
     private var createdJobs = 0
@@ -59,7 +59,7 @@
     /** Everything that was written, in order. */
     val written = ArrayList<Write>()
 
-    /** Submits a job of three tasks that run for 10 s and have a deadline of 60 s, but for what [change] changes. */
+    /** Submits a job of three tasks that run for 10 s and have a deadline of 60 s, as modified by [change]. */
     fun job(change: (JobSpec) -> JobSpec = { it }): RunningJob {
         val number = ++createdJobs
         val spec =
@@ -99,13 +99,13 @@
         spot: Boolean = false,
         epoch: Long = 1,
         sequenceNumber: Long? = null,
-        warning: Double? = null,
+        noticeSeconds: Double? = null,
     ): HeartbeatDisposition {
         val name = MachineName(machineName)
         val next = sequenceNumber ?: ((sequenceNumbers[name] ?: 0) + 1)
         sequenceNumbers[name] = next
         val version = HeartbeatVersion(epoch, next)
-        val heartbeat = Heartbeat(name, type, zone, spot, version, fencingToken, warning, tasks.toList())
+        val heartbeat = Heartbeat(name, type, zone, spot, version, fencingToken, noticeSeconds, tasks.toList())
         val disposition = scheduler.heartbeat(heartbeat, now)
         if (disposition == HeartbeatDisposition.ACCEPTED || disposition == HeartbeatDisposition.TOKEN_BEHIND) {
             scheduler.leaseRenewed(name, now)
@@ -113,7 +113,7 @@
         return disposition
     }
 
-    /** Places, records and starts the job's tasks on a machine, and shows them running there. */
+    /** Places the job's tasks on a machine, records their starts, and sends a heartbeat that shows them running. */
     fun startAll(
         job: RunningJob,
         machineName: String = "m",
@@ -128,7 +128,7 @@
 
     fun machine(machineName: String) = scheduler.machines.getValue(MachineName(machineName))
 
-    /** In the order in which they were placed; none of an unknown machine. */
+    /** Returns the tasks assigned to a machine in the order of their placement; none for an unknown machine. */
     fun tasksOn(machineName: String): List<Assignment> =
         scheduler.machines[MachineName(machineName)]
             ?.assignments
@@ -150,7 +150,7 @@
 
     fun hasLostWorkers(): Boolean = maintenance.hasLostWorkers(now)
 
-    /** The next batch to write, null if none is due. Whatever a leader writes must fail once another is elected. */
+    /** Returns the next batch to write, null if none is due. Checks that it fails once another leader is elected. */
     fun batch(): WriteBatch? {
         val maxOps = settings.storeLimits.transactionOps
         val batch = scheduler.writeAheadLog.nextBatch(maxOps, scheduler.machines.keys, now) ?: return null
@@ -161,7 +161,7 @@
         return batch
     }
 
-    /** A start is recorded under the precondition of its job's record, whatever it is recorded for. */
+    /** Checks that a start is recorded only under the precondition of its job's record. */
     private fun checkStartsHavePreconditions(
         write: Write,
         preconditions: List<Precondition>,
@@ -179,12 +179,12 @@
         }
     }
 
-    /** Writes all that is due, as the key-value store would apply it; returns the number of writes. */
+    /** Writes all batches that are due, as the key-value store would apply them. Returns the number of writes. */
     fun write(): Int {
-        var ops = 0
+        var writeCount = 0
         while (true) {
-            val batch = batch() ?: return ops
-            ops += batch.writes.size
+            val batch = batch() ?: return writeCount
+            writeCount += batch.writes.size
             written += batch.writes
             version++
             batch.writes.forEach(::replicate)
@@ -202,10 +202,10 @@
         replica.apply(change)
     }
 
-    /** What operators see of the records as they stand. */
+    /** Returns the recorded work as operators see it in the current records. */
     fun recorded(): RecordedWork = RecordedWork.of(replica, settings)
 
-    /** A leader of the next term that has loaded the records as they stand. */
+    /** Returns a leader of the next term that has loaded the current records. */
     fun successor(wallClock: () -> Instant = { Instant.EPOCH }) =
         TestScheduler(term.next(), replica, settingsJson, logSlots, wallClock).also {
             it.now = now
@@ -228,7 +228,7 @@
     }
 }
 
-/** The tasks that are, or may be, on machines, by their index. */
+/** Returns the tasks that are, or may be, on machines in the order of their index. */
 internal fun RunningJob.placedTasks(): List<Assignment> = assigned.values.sortedBy { it.index }
 
 internal fun running(assignment: Assignment): ReportedTask = TestScheduler.running(assignment.id, assignment.attempt)
--- a/src/test/kotlin/umberslip/scheduling/WorkerCommandsTest.kt
+++ b/src/test/kotlin/umberslip/scheduling/WorkerCommandsTest.kt
@@ -11,7 +11,7 @@
 import umberslip.core.TaskId
 import kotlin.time.Duration.Companion.seconds
 
-/** What a worker is sent: starts, stops and clears, by what is recorded. */
+/** Tests which commands are sent to a worker, depending on the recorded starts and exits. */
 class WorkerCommandsTest {
     private val leader = TestScheduler()
 
@@ -55,8 +55,8 @@
     }
 
     @Test
-    fun `a task is not started beside its own former attempt`() {
-        // Found by the rules test: the worker refuses it as busy, again and again.
+    fun `a task is not started while the worker still lists its former attempt`() {
+        // Found by the rules test: the worker refused such a start as busy, again and again.
         val job = leader.job { it.copy(tasks = 1) }
         leader.startAll(job)
         val first = job.placedTasks().single()
@@ -70,7 +70,7 @@
     }
 
     @Test
-    fun `a cancelled job starts nothing more and its tasks are stopped until they are off the machine`() {
+    fun `no task of a cancelled job is started, and those on the machine are stopped until they are gone`() {
         val job = leader.job { it.copy(tasks = 6) }
         leader.startAll(job)
         leader.cancel(job)
@@ -78,7 +78,7 @@
         leader.dispatch("m")
         assertTrue(leader.commands("m").all { it is WorkerCommand.Stop && it.gracePeriodSeconds == 0.0 })
         leader.write()
-        assertNotNull(leader.scheduler.jobs[job.spec.id], "its tasks are still there")
+        assertNotNull(leader.scheduler.jobs[job.spec.id], "its tasks are still on the machine")
         leader.heartbeat("m")
         leader.write()
         assertNull(leader.scheduler.jobs[job.spec.id])
