--- a/src/main/kotlin/umberslip/provisioning/CapacitySummary.kt
+++ b/src/main/kotlin/umberslip/provisioning/CapacitySummary.kt
@@ -18,7 +18,7 @@
         cpus(up.filter { it.offer.spot }),
         cpus(up.filter { it.isDraining }),
         cpus(up.filter { it.isQuarantined }),
-        up.sumOf { machine -> machine.running.sumOf { it.resources.cpus } }.toInt(),
+        up.sumOf { machine -> machine.assignedTasks.sumOf { it.resources.cpus } }.toInt(),
         up.sumOf { it.runningCpus }.toInt(),
         up.sumOf { it.fetchingCpus }.toInt(),
         bootingCpus.toInt(),
--- a/src/main/kotlin/umberslip/provisioning/Supply.kt
+++ b/src/main/kotlin/umberslip/provisioning/Supply.kt
@@ -78,7 +78,7 @@
 
     private fun addMachine(machine: MachineSnapshot) {
         val resources = machine.capacity ?: return
-        if (machine.isQuarantined || machine.interruptedIn != null) return
+        if (machine.isQuarantined || machine.timeUntilInterruption != null) return
         if (machine.sinceContact == null || machine.sinceContact > UNRESPONSIVE_AFTER) return
         busyCpus[machine.name] = blockedCpus(machine, resources, demand.drainSeconds)
         val blocked = blockedCpus(machine, resources, demand.drainSecondsWhenUp)
@@ -99,7 +99,7 @@
         machine: MachineSnapshot,
         resources: Resources,
     ): Resources {
-        val endless = machine.running.filter { it.isEndless }
+        val endless = machine.assignedTasks.filter { it.isEndless }
         return endless.fold(resources) { left, task -> left - task.resources }
     }
 
@@ -107,7 +107,7 @@
         machine: MachineSnapshot,
         resources: Resources,
         horizonSeconds: Double,
-    ): Double = machine.running.sumOf { demand.blockedCpus(it.resources, it.seconds, resources, horizonSeconds) }
+    ): Double = machine.assignedTasks.sumOf { demand.blockedCpus(it.resources, it.seconds, resources, horizonSeconds) }
 
     private fun addBooting(
         offer: Offer,
--- a/src/main/kotlin/umberslip/scheduling/ClusterSnapshot.kt
+++ b/src/main/kotlin/umberslip/scheduling/ClusterSnapshot.kt
@@ -62,11 +62,11 @@
     val isDraining: Boolean,
     val isQuarantined: Boolean,
     /** The time until the spot interruption; null without an interruption notice. */
-    val interruptedIn: Duration?,
+    val timeUntilInterruption: Duration?,
     /** The number of assigned tasks, including those that do not run yet. */
     val tasks: Int,
     /** All assigned tasks, including those that do not run yet. */
-    val running: List<RunningTask>,
+    val assignedTasks: List<RunningTask>,
     /** The time since the last contact with the leader; null before the first in this term. */
     val sinceContact: Duration?,
     /** The time since the last contact with any controller, or since the records were loaded if there was none. */
@@ -177,9 +177,9 @@
                 isUsable = machine.isUsable,
                 isDraining = machine.isDraining,
                 isQuarantined = machine.isQuarantined,
-                interruptedIn = machine.interruptionAt?.minus(now),
+                timeUntilInterruption = machine.interruptionAt?.minus(now),
                 tasks = machine.assignments.size,
-                running = machine.assignments.values.map { runningTask(it, now) },
+                assignedTasks = machine.assignments.values.map { runningTask(it, now) },
                 sinceContact = machine.lastContactAt?.let { now - it },
                 sinceAnyContact = machine.timeSinceContact(now),
                 leaseExpired = machine.leaseExpiry <= now,
--- a/src/test/kotlin/umberslip/provisioning/CapacityPlannerTest.kt
+++ b/src/test/kotlin/umberslip/provisioning/CapacityPlannerTest.kt
@@ -190,7 +190,7 @@
 
     private fun leftByEndless(machine: MachineSnapshot): Resources {
         val capacity = capacity(machine.offer)
-        return machine.running.fold(capacity) { left, task -> left - task.resources }
+        return machine.assignedTasks.fold(capacity) { left, task -> left - task.resources }
     }
 
     private fun places(
