--- a/src/main/kotlin/umberslip/scheduling/Assignment.kt
+++ b/src/main/kotlin/umberslip/scheduling/Assignment.kt
@@ -11,7 +11,7 @@
 class Assignment(
     val job: RunningJob,
     val index: Int,
-    /** Zero until an attempt number is given, which for the tasks of a gang happens once the gang is complete. */
+    /** The attempt number; zero until one is given, which for a gang happens once the gang is complete. */
     var attempt: Long,
     val machineName: MachineName,
     /** The zone of the machine; empty while only the records name the machine, until its first heartbeat. */
@@ -35,7 +35,7 @@
     /** When a heartbeat first showed the task running; null before that. */
     var runningSince: Duration? = null
 
-    /** How long the worker gives the task to save a checkpoint; null unless the task is to stop. */
+    /** How long the worker gives the task to save a checkpoint; null unless a stop was requested. */
     var gracePeriod: Duration? = null
         private set
 
--- a/src/main/kotlin/umberslip/scheduling/ClusterSnapshot.kt
+++ b/src/main/kotlin/umberslip/scheduling/ClusterSnapshot.kt
@@ -78,11 +78,11 @@
     val fetchingCpus: Double,
 )
 
-/** The state that the provisioner plans from: the machines, and the work that waits for them. Immutable. */
+/** The input of the provisioner's plans: the machines, and the work that waits to be placed. Immutable. */
 class ClusterSnapshot(
     val machines: List<MachineSnapshot>,
     val waiting: List<PendingWork>,
-    /** When the job that has waited longest for its first task to start became runnable; null if there is none. */
+    /** Since when the longest-waiting job without a started task has been runnable; null if there is no such job. */
     val oldestUnstartedSince: Duration? = null,
 ) {
     companion object {
--- a/src/main/kotlin/umberslip/scheduling/LeaseExpiry.kt
+++ b/src/main/kotlin/umberslip/scheduling/LeaseExpiry.kt
@@ -10,8 +10,8 @@
  * Requeues the tasks of a machine once every lease that its worker may hold has expired, so that no task runs twice.
  *
  * The expiry of the leases renewed by the leader is not sufficient: a follower may have renewed the lease of a machine
- * in a partitioned zone since then. Lease renewal is therefore revoked for the machine first. A follower answers only
- * heartbeats that were sent before the revocation was written. Pure: time is an input.
+ * in a partitioned zone since then. Lease renewal is therefore revoked for the machine first. Once the revocation is
+ * written, a follower answers only heartbeats that were sent before it. Pure: time is an input.
  */
 internal class LeaseExpiry(
     private val scheduler: SchedulerState,
@@ -49,9 +49,9 @@
     }
 
     /**
-     * Whether the machine is presumed lost. A zone that is unresponsive as a whole is probably partitioned, and its
-     * tasks run on. The zone of a machine without contact since the failover is not known; several such machines
-     * are treated as one zone.
+     * Whether the machine is presumed lost. A zone that is unresponsive as a whole is treated as partitioned rather
+     * than lost: its tasks run on. The zone of a machine without contact since the failover is not known; several such
+     * machines are treated as one zone.
      */
     private fun isLost(
         machine: Machine,
--- a/src/main/kotlin/umberslip/scheduling/SchedulerState.kt
+++ b/src/main/kotlin/umberslip/scheduling/SchedulerState.kt
@@ -184,7 +184,7 @@
         }
     }
 
-    /** Updates the priorities and deadlines that jobs inherit from the jobs that depend on them. */
+    /** Updates the priorities and deadlines that jobs inherit from dependent jobs, where these have changed. */
     fun inheritPriorities(now: Duration) {
         for ((job, inherited) in dependencyGraph.inheritPriorities()) {
             teams[job.spec.team]?.reinsert(job) { job.inherit(inherited.priority, inherited.deadlines, now) }
@@ -199,7 +199,7 @@
         for (machineName in machineNames) machines[machineName]?.renewedByFollowerAt = now
     }
 
-    /** Replaces the instance types by [all] that the cloud offers now. */
+    /** Replaces the instance types by [all], which the cloud offers now. */
     fun setInstanceTypes(all: List<InstanceType>) {
         instanceTypes.clear()
         all.associateByTo(instanceTypes) { it.label }
@@ -236,8 +236,8 @@
     }
 
     /**
-     * Updates the machine from a heartbeat with an older fencing token. Its worker has turned to another leader
-     * meanwhile, so a heartbeat with this term has to show again what is on the machine.
+     * Updates the description of the machine from a heartbeat with an older fencing token. The worker has turned to
+     * another leader meanwhile, so a heartbeat with this term has to show again which tasks are on the machine.
      */
     private fun acceptDescription(
         machine: Machine,
@@ -276,7 +276,7 @@
         heartbeatReconciliation.reconcile(machine, heartbeat, isNewEpoch, now)
     }
 
-    /** Notes that a response is sent that renews the machine's lease, which may then last for [maxLeaseDuration]. */
+    /** Extends the lease expiry of the machine, since a response that renews the lease is being sent. */
     fun leaseRenewed(
         name: MachineName,
         now: Duration,
--- a/src/main/kotlin/umberslip/scheduling/WorkerCommands.kt
+++ b/src/main/kotlin/umberslip/scheduling/WorkerCommands.kt
@@ -22,7 +22,7 @@
     ): List<WorkerCommand> {
         if (!machine.isReconciled || machine.isTerminating) return emptyList()
         val commands = ArrayList<WorkerCommand>()
-        // Starts that are not sent yet, since a worker refuses a task of which it still lists a former attempt.
+        // Tasks that are not started yet, since a worker refuses a task of which it still lists a former attempt.
         val blockedStarts = HashSet<TaskId>()
         for (reported in machine.reported.values) {
             val assignment = machine.assignments[reported.task]
