--- a/src/main/kotlin/umberslip/scheduling/AssignmentLifecycle.kt
+++ b/src/main/kotlin/umberslip/scheduling/AssignmentLifecycle.kt
@@ -22,7 +22,7 @@
         machine: Machine,
     ) {
         val job = assignment.job
-        job.place(assignment)
+        job.assign(assignment)
         machine.add(assignment)
         cachedImages.add(job.spec.image)
         teams[job.spec.team]?.quota?.allocate(assignment.resources)
@@ -32,7 +32,7 @@
     /** Removes the assignment without queuing any write for it. The task waits to be placed again unless it is done. */
     fun detach(assignment: Assignment) {
         machines[assignment.machineName]?.remove(assignment)
-        assignment.job.unplace(assignment)
+        assignment.job.unassign(assignment)
         teams[assignment.job.spec.team]?.quota?.deallocate(assignment.resources)
         refresh(assignment.job)
     }
--- a/src/main/kotlin/umberslip/scheduling/Machine.kt
+++ b/src/main/kotlin/umberslip/scheduling/Machine.kt
@@ -177,7 +177,7 @@
     }
 
     /** Notes that [image] is fetched, since a heartbeat shows a task that runs with it. */
-    fun imageFetched(image: String) = images.taskRuns(image)
+    fun imageFetched(image: String) = images.imageFetched(image)
 
     /** Returns the resources that no assignment takes; null while [capacity] is null. */
     fun freeResources(): Resources? = capacity?.minus(used)
--- a/src/main/kotlin/umberslip/scheduling/MachineHeartbeats.kt
+++ b/src/main/kotlin/umberslip/scheduling/MachineHeartbeats.kt
@@ -34,7 +34,7 @@
         machine.zone = zone
         for (former in machine.assignments.values.toList()) {
             val replacement = former.withZone(zone)
-            former.job.unplace(former)
+            former.job.unassign(former)
             machine.remove(former)
             former.job.place(replacement)
             machine.add(replacement)
--- a/src/main/kotlin/umberslip/scheduling/SchedulerState.kt
+++ b/src/main/kotlin/umberslip/scheduling/SchedulerState.kt
@@ -93,7 +93,7 @@
         for ((id, job) in records.jobs()) jobChanged(id, job, now)
         RecordLoader(jobs, machines, assignments, writeAheadLog, now, formerLeaseExpiry).load(records)
         for (job in jobs.values) assignments.refresh(job)
-        if (records.unreadable.any { Keys.asLog(it) != null }) noDispatchBefore = formerLeaseExpiry
+        if (records.unreadable.any { Keys.parseLogSlot(it) != null }) noDispatchBefore = formerLeaseExpiry
         val recordedTasks = machines.mapValues { it.value.assignments.size }.filterValues { it > 0 }
         reconciliationObserver?.recordsLoaded(recordedTasks, now)
     }
@@ -116,7 +116,7 @@
         }
         val job = newJob(record, now)
         jobs[id] = job
-        dependencyGraph.added(job).forEach(assignments::refresh)
+        dependencyGraph.add(job).forEach(assignments::refresh)
         assignments.refresh(job)
     }
 
@@ -167,7 +167,7 @@
         teams[job.spec.team]?.remove(job)
         starvationGuard.remove(job)
         writeAheadLog.remove(job)
-        dependencyGraph.removed(job)
+        dependencyGraph.remove(job)
     }
 
     /** Applies the recorded [outcome] of a job that other jobs depend on. */
@@ -176,7 +176,7 @@
         outcome: JobOutcome,
         now: Duration,
     ) {
-        for (job in dependencyGraph.ended(id, outcome)) {
+        for (job in dependencyGraph.recordOutcome(id, outcome)) {
             if (!job.isBlocked) {
                 job.becomeRunnable(jobObjectives.objectiveDeadlines(job.spec, job.submittedAt, now), now)
             }
--- a/src/test/kotlin/umberslip/scheduling/LeaseExpiryTest.kt
+++ b/src/test/kotlin/umberslip/scheduling/LeaseExpiryTest.kt
@@ -49,17 +49,17 @@
         fun lostWithin(seconds: Int): Boolean =
             (1..seconds).any {
                 leader.now += 1.seconds
-                leader.hasLostWorkers()
+                leader.hasLostContact()
             }
         assertFalse(lostWithin(10), "no machine has had contact yet")
         heartbeatAll()
         assertFalse(lostWithin(2))
         heartbeatAll()
-        assertFalse(leader.hasLostWorkers())
+        assertFalse(leader.hasLostContact())
         assertTrue(lostWithin(5))
         leader.heartbeat("a", sequenceNumber = 9)
         leader.heartbeat("a", sequenceNumber = 10)
-        assertFalse(leader.hasLostWorkers(), "one of five has contact")
+        assertFalse(leader.hasLostContact(), "one of five has contact")
     }
 
     @Test
--- a/src/test/kotlin/umberslip/scheduling/TestScheduler.kt
+++ b/src/test/kotlin/umberslip/scheduling/TestScheduler.kt
@@ -148,7 +148,7 @@
 
     fun tick() = maintenance.tick(now)
 
-    fun hasLostWorkers(): Boolean = maintenance.hasLostWorkers(now)
+    fun hasLostContact(): Boolean = maintenance.hasLostContact(now)
 
     /** Returns the next batch to write, null if none is due. Checks that it fails once another leader is elected. */
     fun batch(): WriteBatch? {
@@ -166,7 +166,7 @@
         write: Write,
         preconditions: List<Precondition>,
     ) {
-        if (write !is Write.Put || Keys.asLog(write.key) == null) return
+        if (write !is Write.Put || Keys.parseLogSlot(write.key) == null) return
         val entry = LogRecord.parse(Documents.readCbor(Documents.writeCbor(write.data)))
         for ((id, row) in entry.rows) {
             val job = scheduler.jobs.getValue(id)
