--- a/src/main/kotlin/umberslip/scheduling/MachineHeartbeats.kt
+++ b/src/main/kotlin/umberslip/scheduling/MachineHeartbeats.kt
@@ -36,7 +36,7 @@
             val replacement = former.withZone(zone)
             former.job.unassign(former)
             machine.remove(former)
-            former.job.place(replacement)
+            former.job.assign(replacement)
             machine.add(replacement)
         }
     }
