--- a/src/main/kotlin/umberslip/provisioning/Provisioner.kt
+++ b/src/main/kotlin/umberslip/provisioning/Provisioner.kt
@@ -103,12 +103,12 @@
     private suspend fun tryRound() {
         try {
             if (!runRound()) return
-            val failureCount = failures.reset() + unreadableResponses.succeeded()
+            val failureCount = failures.reset() + unreadableResponses.reset()
             if (failureCount > 0) log.info("cloud available again: failures={}", failureCount)
         } catch (e: ServiceException) {
             backOff(e.message)
         } catch (e: MalformedMessageException) {
-            if (unreadableResponses.failed(clock.now())) {
+            if (unreadableResponses.countFailure(clock.now())) {
                 log.error("cloud response unreadable: reason={} failures={}", e.message, unreadableResponses.count)
             }
             reportUnprovisioned(UnprovisionedReason.CLOUD_UNAVAILABLE)
