--- a/src/main/kotlin/umberslip/leadership/LeaderElection.kt
+++ b/src/main/kotlin/umberslip/leadership/LeaderElection.kt
@@ -194,7 +194,7 @@
         val lease = leaderLease.held?.lease ?: return
         val sentAt = clock.now()
         try {
-            if (store.renew(lease)) leaderLease.renewed(sentAt) else leaderLease.markLost("the leader's lease has expired")
+            if (store.renew(lease)) leaderLease.renewed(sentAt) else leaderLease.markLost("the leader's lease expired")
         } catch (e: ServiceException) {
             log.debug("leader's lease not renewed: reason={}", e.message)
         }
--- a/src/main/kotlin/umberslip/scheduling/WriteResolution.kt
+++ b/src/main/kotlin/umberslip/scheduling/WriteResolution.kt
@@ -65,7 +65,7 @@
             is TransactionResult.Applied -> applyFence(scheduler, result.version)
             is TransactionResult.PreconditionFailed -> checkEarlierFence(scheduler, record)
             TransactionResult.LeaseExpired, is TransactionResult.Rejected -> {
-                leaderLease.markLost("the leader's lease has expired")
+                leaderLease.markLost("the leader's lease expired")
                 false
             }
         }
