--- a/src/main/kotlin/umberslip/provisioning/CapacityPlanner.kt
+++ b/src/main/kotlin/umberslip/provisioning/CapacityPlanner.kt
@@ -91,7 +91,7 @@
             }
             if (!isExpensive) open = fill(open, expensiveSupply, isExpensive = true)
             if (open.isNotEmpty()) requestOneIfNoneFits(constraint, open)
-            work.filter { it.atOnce > 1 }.forEach { planGangPlaces(constraint, it) }
+            work.filter { it.concurrentTasks > 1 }.forEach { planGangPlaces(constraint, it) }
         }
 
         /**
@@ -153,7 +153,7 @@
             val fittingOffers = offers.filter { fits(it, constraint, gang) }
             val allowed = supply.filter { constraint.allows(it.offer) && it.canHold(gang.resources) }
             val zone = if (gang.oneZone) bestZone(allowed, fittingOffers, gang) else null
-            var missingPlaces = gang.atOnce
+            var missingPlaces = gang.concurrentTasks
             for (machine in allowed.filter { zone == null || it.offer.zone == zone }.sortedWith(ORDER_OF_USE)) {
                 if (missingPlaces <= 0) return
                 missingPlaces -= machine.placesFor(gang.resources)
@@ -181,7 +181,7 @@
         ): String? {
             val byZone = allowed.groupBy { it.offer.zone }
             val places = byZone.mapValues { (_, inZone) -> inZone.sumOf { it.placesFor(gang.resources) } }
-            val zoneWithEnoughPlaces = places.filterValues { it >= gang.atOnce }.keys.firstOrNull()
+            val zoneWithEnoughPlaces = places.filterValues { it >= gang.concurrentTasks }.keys.firstOrNull()
             return zoneWithEnoughPlaces ?: fittingOffers.map { it.zone }.maxByOrNull { places[it] ?: 0 }
         }
 
--- a/src/main/kotlin/umberslip/provisioning/CapacitySummary.kt
+++ b/src/main/kotlin/umberslip/provisioning/CapacitySummary.kt
@@ -20,7 +20,7 @@
         totalCpus(up.filter { it.offer.spot }),
         totalCpus(up.filter { it.isDraining }),
         totalCpus(up.filter { it.isQuarantined }),
-        up.sumOf { machine -> machine.running.sumOf { it.resources.cpus } }.toInt(),
+        up.sumOf { machine -> machine.assignedTasks.sumOf { it.resources.cpus } }.toInt(),
         up.sumOf { it.runningCpus }.toInt(),
         up.sumOf { it.fetchingCpus }.toInt(),
         bootingCpus.toInt(),
--- a/src/main/kotlin/umberslip/provisioning/CloudReconciliation.kt
+++ b/src/main/kotlin/umberslip/provisioning/CloudReconciliation.kt
@@ -71,7 +71,7 @@
             val listed = cloud.listMachines()
             lastAttemptAt = now
             hasListInTerm = true
-            unreadableLists.succeeded()
+            unreadableLists.reset()
             return listed
         } catch (e: RequestRejectedException) {
             handleUnusableList(e, now)
@@ -89,7 +89,7 @@
         // only for a limited time.
         if (!hasListInTerm && now - electedAt < FIRST_LIST_TIMEOUT) throw failure
         lastAttemptAt = now
-        if (!unreadableLists.failed(now)) return
+        if (!unreadableLists.countFailure(now)) return
         log.error(
             "list of machines is unusable, continuing without it: reason={} failures={}",
             failure.message,
--- a/src/main/kotlin/umberslip/provisioning/Provisioner.kt
+++ b/src/main/kotlin/umberslip/provisioning/Provisioner.kt
@@ -103,12 +103,12 @@
     private suspend fun tryRound() {
         try {
             if (!runRound()) return
-            val failureCount = failures.succeeded() + unreadableResponses.succeeded()
+            val failureCount = failures.reset() + unreadableResponses.reset()
             if (failureCount > 0) log.info("cloud available again: failures={}", failureCount)
         } catch (e: ServiceException) {
             backOff(e.message)
         } catch (e: MalformedMessageException) {
-            if (unreadableResponses.failed(clock.now())) {
+            if (unreadableResponses.countFailure(clock.now())) {
                 log.error("cloud response unreadable: reason={} failures={}", e.message, unreadableResponses.count)
             }
             reportUnprovisioned(UnprovisionedReason.CLOUD_UNAVAILABLE)
@@ -118,8 +118,8 @@
 
     private suspend fun backOff(reason: String?) {
         val now = clock.now()
-        if (failures.failed(now)) {
-            log.warn("cloud unavailable: reason={} failures={} for={}", reason, failures.count, failures.lasted(now))
+        if (failures.countFailure(now)) {
+            log.warn("cloud unavailable: reason={} failures={} for={}", reason, failures.count, failures.duration(now))
         }
         reportUnprovisioned(UnprovisionedReason.CLOUD_UNAVAILABLE)
         delay(FAILURE_DELAY)
--- a/src/main/kotlin/umberslip/provisioning/Supply.kt
+++ b/src/main/kotlin/umberslip/provisioning/Supply.kt
@@ -80,7 +80,7 @@
 
     private fun addMachine(machine: MachineSnapshot) {
         val resources = machine.capacity ?: return
-        if (machine.isQuarantined || machine.interruptedIn != null) return
+        if (machine.isQuarantined || machine.timeUntilInterruption != null) return
         if (machine.sinceContact == null || machine.sinceContact > UNRESPONSIVE_AFTER) return
         busyCpus[machine.name] = blockedCpus(machine, resources, demand.drainSeconds)
         val blocked = blockedCpus(machine, resources, demand.drainSecondsWhenUp)
@@ -101,7 +101,7 @@
         machine: MachineSnapshot,
         resources: Resources,
     ): Resources {
-        val endlessTasks = machine.running.filter { it.isEndless }
+        val endlessTasks = machine.assignedTasks.filter { it.isEndless }
         return endlessTasks.fold(resources) { left, task -> left - task.resources }
     }
 
@@ -109,7 +109,7 @@
         machine: MachineSnapshot,
         resources: Resources,
         horizonSeconds: Double,
-    ): Double = machine.running.sumOf { demand.blockedCpus(it.resources, it.seconds, resources, horizonSeconds) }
+    ): Double = machine.assignedTasks.sumOf { demand.blockedCpus(it.resources, it.seconds, resources, horizonSeconds) }
 
     private fun addBooting(
         offer: Offer,
--- a/src/main/kotlin/umberslip/scheduling/BatchWriter.kt
+++ b/src/main/kotlin/umberslip/scheduling/BatchWriter.kt
@@ -71,7 +71,7 @@
                 // After an unexpected failure this leader gives up its leadership, and the next one finds out whether
                 // the batch was applied. The message is sent in any case, or no further batch would ever be written.
                 val isCurrentTerm = leaderLease.term == scheduler.term
-                if (!isOutcomeKnown && isCurrentTerm) leaderLease.lost("the outcome of a batch is unknown")
+                if (!isOutcomeKnown && isCurrentTerm) leaderLease.markLost("the outcome of a batch is unknown")
                 send(LeaderMessage.WriteCompleted(scheduler, batch, result))
             }
         }
--- a/src/main/kotlin/umberslip/scheduling/Leader.kt
+++ b/src/main/kotlin/umberslip/scheduling/Leader.kt
@@ -85,7 +85,7 @@
             is LeaderMessage.TakeSnapshot -> takeSnapshot(message, now)
             is LeaderMessage.Drain -> scheduler?.let { drain(it, message, now) }
             is LeaderMessage.PrepareTermination -> prepareTermination(message)
-            is LeaderMessage.Terminated -> scheduler?.terminated(message.machineNames, now)
+            is LeaderMessage.Terminated -> scheduler?.machinesTerminated(message.machineNames, now)
         }
     }
 
@@ -182,7 +182,7 @@
                 return
             }
         }
-        if (scheduler.hasUnrecorded(machine)) {
+        if (scheduler.hasUnrecordedStarts(machine)) {
             batchWriter.flush(scheduler, now)
         } else {
             responder.respond(scheduler, machine, now)
@@ -228,7 +228,7 @@
             is TransactionResult.PreconditionFailed -> {
                 scheduler.writeAheadLog.notApplied(batch)
                 if (Keys.LEADER in result.failed) {
-                    leaderLease.lost("this controller no longer holds the leader's record")
+                    leaderLease.markLost("this controller no longer holds the leader's record")
                     return false
                 }
             }
@@ -255,7 +255,7 @@
         writeCounter.increment(batch.writes.size.toDouble())
         for (name in scheduler.applied(batch, result.version, now)) {
             val machine = scheduler.machines[name] ?: continue
-            if (!scheduler.hasUnrecorded(machine)) responder.respond(scheduler, machine, now)
+            if (!scheduler.hasUnrecordedStarts(machine)) responder.respond(scheduler, machine, now)
         }
     }
 
--- a/src/main/kotlin/umberslip/scheduling/WriteResolution.kt
+++ b/src/main/kotlin/umberslip/scheduling/WriteResolution.kt
@@ -65,7 +65,7 @@
             is TransactionResult.Applied -> applyFence(scheduler, result.version)
             is TransactionResult.PreconditionFailed -> checkEarlierFence(scheduler, record)
             TransactionResult.LeaseExpired, is TransactionResult.Rejected -> {
-                leaderLease.lost("the leader's lease has expired")
+                leaderLease.markLost("the leader's lease expired")
                 false
             }
         }
@@ -81,7 +81,7 @@
     ): Boolean {
         val entry = store.get(Keys.LEADER)
         if (entry != null && isSameRecord(record, entry)) return applyFence(scheduler, entry.version)
-        leaderLease.lost("this controller no longer holds the leader's record")
+        leaderLease.markLost("this controller no longer holds the leader's record")
         return false
     }
 
--- a/src/test/kotlin/umberslip/provisioning/CapacityPlannerTest.kt
+++ b/src/test/kotlin/umberslip/provisioning/CapacityPlannerTest.kt
@@ -120,7 +120,7 @@
         waiting: Int = tasks,
         oneZone: Boolean = false,
         cpus: Double = 1.0,
-    ) = PendingWork(anyMachine, Resources(cpus, 0.0, 1.0), waiting, 9.0, atOnce = tasks, oneZone = oneZone)
+    ) = PendingWork(anyMachine, Resources(cpus, 0.0, 1.0), waiting, 9.0, concurrentTasks = tasks, oneZone = oneZone)
 
     @Test
     fun `a gang beside a daemon gets a machine although capacity over time looks sufficient`() {
@@ -177,7 +177,7 @@
                 (existing + requested)
                     .groupBy({ (offer, _) -> offer.zone }) { (_, resources) -> places(resources, gang.resources) }
                     .map { (_, inZone) -> inZone.sum() }
-            assertTrue((if (gang.oneZone) places.max() else places.sum()) >= gang.atOnce, "$gang in $places")
+            assertTrue((if (gang.oneZone) places.max() else places.sum()) >= gang.concurrentTasks, "$gang in $places")
         }
     }
 
@@ -190,7 +190,7 @@
 
     private fun resourcesBesideEndless(machine: MachineSnapshot): Resources {
         val capacity = capacity(machine.offer)
-        return machine.running.fold(capacity) { left, task -> left - task.resources }
+        return machine.assignedTasks.fold(capacity) { left, task -> left - task.resources }
     }
 
     private fun places(
--- a/src/test/kotlin/umberslip/scheduling/BusyCluster.kt
+++ b/src/test/kotlin/umberslip/scheduling/BusyCluster.kt
@@ -26,7 +26,7 @@
     /** Terminates the machine and all tasks on it. */
     fun terminate(machineName: MachineName) {
         machineNames -= machineName.value
-        leader.scheduler.terminated(listOf(machineName), leader.now)
+        leader.scheduler.machinesTerminated(listOf(machineName), leader.now)
     }
 
     /** Lets every machine send a heartbeat and get tasks, writes what is due, and runs the leader's maintenance. */
--- a/src/test/kotlin/umberslip/scheduling/LogCompactionTest.kt
+++ b/src/test/kotlin/umberslip/scheduling/LogCompactionTest.kt
@@ -90,8 +90,8 @@
         repeat(300) { number ->
             val task = service.assigned.values.random(random)
             heartbeatRound(leader, mapOf(task.id to ExitCause.STOPPED))
-            val hasUnrecorded = leader.scheduler.hasUnrecorded(leader.machine("m"))
-            assertFalse(hasUnrecorded, "round $number: a start is not recorded")
+            val hasUnrecordedStarts = leader.scheduler.hasUnrecordedStarts(leader.machine("m"))
+            assertFalse(hasUnrecordedStarts, "round $number: a start is not recorded")
         }
         assertTrue(leader.written.none { it.key == Keys.progress(service.spec.id, 0) }, "its record never fits")
         assertEquals(attempts(leader), attempts(leader.successor()))
