--- a/src/test/kotlin/umberslip/api/FeasibilityTest.kt
+++ b/src/test/kotlin/umberslip/api/FeasibilityTest.kt
@@ -29,7 +29,7 @@
         Feasibility.objection(
             spec,
             teams,
-            ClusterSize.SMALL,
+            ClusterSize.TYPES,
             listOf("east", "west"),
         )
 
--- a/src/test/kotlin/umberslip/loopback/LoopbackCloud.kt
+++ b/src/test/kotlin/umberslip/loopback/LoopbackCloud.kt
@@ -54,7 +54,7 @@
 
     private fun answer(request: CborRequest): CborAnswer =
         when {
-            request.path == "/flavors" -> CborAnswer(200, mapOf("hosttypes" to ClusterSize.SMALL.map(::instanceType)))
+            request.path == "/flavors" -> CborAnswer(200, mapOf("hosttypes" to ClusterSize.TYPES.map(::instanceType)))
             request.path == "/rentals" && request.method == "GET" -> list(request.query)
             request.path == "/rentals" -> provision(request.fields())
             request.path == "/rentals/release" -> terminate(request.fields())
@@ -80,7 +80,7 @@
 
     private fun terminate(fields: Fields): CborAnswer {
         val machineNames = fields.textsOrNull("hosts").orEmpty().map(::MachineName)
-        ProtocolLimits.termination(machineNames)?.let { return refused(it) }
+        ProtocolLimits.terminationViolation(machineNames)?.let { return refused(it) }
         machineNames.forEach(::terminate)
         return CborAnswer(200, emptyMap<String, Any?>())
     }
@@ -89,7 +89,7 @@
         val request = fields.text("hire")
         val offer = Offer(fields.text("hosttype"), fields.text("hall"), fields.flag("reclaimable"))
         val wanted = fields.long("number").toInt()
-        ProtocolLimits.provisioning(offer, wanted, ClusterSize.SMALL)?.let { return refused(it) }
+        ProtocolLimits.provisioningViolation(offer, wanted, ClusterSize.TYPES)?.let { return refused(it) }
         answersByRequest[request]?.let { return CborAnswer(200, mapOf("hosts" to it)) }
         val available = capacity - instances.values.count { it.terminatedAt == null }
         val number = minOf(wanted, available)
--- a/src/test/kotlin/umberslip/loopback/LoopbackKeyValueStore.kt
+++ b/src/test/kotlin/umberslip/loopback/LoopbackKeyValueStore.kt
@@ -91,7 +91,7 @@
                     Write.Put(key, data, lease)
                 }
             }
-        ProtocolLimits.transaction(preconditions, writes, limits)?.let {
+        ProtocolLimits.transactionViolation(preconditions, writes, limits)?.let {
             refusals += it
             return CborAnswer(400, mapOf("error" to it))
         }
--- a/src/test/kotlin/umberslip/provisioning/CapacityPlannerTest.kt
+++ b/src/test/kotlin/umberslip/provisioning/CapacityPlannerTest.kt
@@ -18,7 +18,7 @@
 import kotlin.time.Duration.Companion.seconds
 
 class CapacityPlannerTest {
-    private val instanceTypes = ClusterSize.SMALL.associateBy { it.label }
+    private val instanceTypes = ClusterSize.TYPES.associateBy { it.label }
     private val planner = CapacityPlanner(Tuning())
     private val any = PlacementConstraint(null, null, true)
 
--- a/src/test/kotlin/umberslip/scheduling/FormerTermBatchTest.kt
+++ b/src/test/kotlin/umberslip/scheduling/FormerTermBatchTest.kt
@@ -95,7 +95,7 @@
         val record = JobRecord(spec, Instant.EPOCH, cancelled = false).toMap()
         val stored = Documents.readCbor(Documents.writeCbor(record))
         replica.apply(Change.Put(Keys.job(JobId("run-000001")), stored, Version(1)))
-        leader.enqueue(LeaderMessage.InstanceTypesChanged(ClusterSize.SMALL))
+        leader.enqueue(LeaderMessage.InstanceTypesChanged(ClusterSize.TYPES))
         leader.start()
     }
 
--- a/src/test/kotlin/umberslip/scheduling/LogCompactionTest.kt
+++ b/src/test/kotlin/umberslip/scheduling/LogCompactionTest.kt
@@ -26,7 +26,7 @@
 /** The log under limits so small that a progress record does not fit while most of its tasks run. */
 class LogCompactionTest {
     private val replica = RecordReplica()
-    private val leader = TestScheduler(replica = replica, settingsJson = Fixtures.loweredJson("c-0"), logSlots = 80)
+    private val leader = TestScheduler(replica = replica, settingsJson = Fixtures.nextLimitsJson("c-0"), logSlots = 80)
 
     /** The highest attempt number of each job that was ever recorded. */
     private val highestRecorded = HashMap<JobId, Long>()
--- a/src/test/kotlin/umberslip/scheduling/TestScheduler.kt
+++ b/src/test/kotlin/umberslip/scheduling/TestScheduler.kt
@@ -46,7 +46,7 @@
     val timings = Timings(settings.workers, Tuning())
     val scheduler =
         SchedulerState(settings, timings, term, Version(1), wallClock, logSlots).also {
-            it.setInstanceTypes(ClusterSize.SMALL)
+            it.setInstanceTypes(ClusterSize.TYPES)
         }
     private val maintenance = Maintenance(scheduler, settings, timings)
     var now: Duration = 100.seconds
--- a/src/test/kotlin/umberslip/sim/ClusterSize.kt
+++ b/src/test/kotlin/umberslip/sim/ClusterSize.kt
@@ -12,10 +12,10 @@
     val members: Int = 3,
     val pageItems: Int = 7,
     val changesKept: Int = 60,
-    val instanceTypes: List<InstanceType> = SMALL,
+    val instanceTypes: List<InstanceType> = TYPES,
 ) {
     companion object {
-        val SMALL =
+        val TYPES =
             listOf(
                 InstanceType("small", 4.0, 0.0, 16.0, 1.0, 0.4, 0.2, 5.seconds, listOf("east", "west")),
                 InstanceType("large", 16.0, 0.0, 64.0, 1.0, 1.5, 0.7, 5.seconds, listOf("east", "west")),
--- a/src/test/kotlin/umberslip/sim/DependencyFailuresTest.kt
+++ b/src/test/kotlin/umberslip/sim/DependencyFailuresTest.kt
@@ -51,9 +51,9 @@
                         cluster.leader()?.let { cluster.cutFromStore(it, 14.seconds) }
                         cancelOpen(6)
                         cluster.run(1900.milliseconds)
-                        cluster.store.out = true
+                        cluster.store.isUnavailable = true
                         pause(40)
-                        cluster.store.out = false
+                        cluster.store.isUnavailable = false
                         pause(12)
                     }
                 },
--- a/src/test/kotlin/umberslip/sim/FailureScenario.kt
+++ b/src/test/kotlin/umberslip/sim/FailureScenario.kt
@@ -103,9 +103,9 @@
         also()
         cluster.run((until - cluster.now()).coerceAtLeast(1.milliseconds))
         cancelledInGap += cluster.cancelledJobs - before
-        cluster.store.out = true
+        cluster.store.isUnavailable = true
         pause(45)
-        cluster.store.out = false
+        cluster.store.isUnavailable = false
         pause(15)
     }
 
--- a/src/test/kotlin/umberslip/sim/Fixtures.kt
+++ b/src/test/kotlin/umberslip/sim/Fixtures.kt
@@ -19,14 +19,14 @@
         )
 
     /** As [settingsJson], with a key-value store that may lower its limits at any time. */
-    fun loweredJson(member: String): String =
-        roomyJson(member).replace(
+    fun nextLimitsJson(member: String): String =
+        largerLimitsJson(member).replace(
             """"txn_ops":12""",
             """"txn_ops":12,"next":{"write_rps":30.0,"value_kb":1.0,"txn_ops":4}""",
         )
 
     /** The same as a version takes it that does not know of later limits. */
-    fun roomyJson(member: String): String =
+    fun largerLimitsJson(member: String): String =
         settingsJson(member).replace(
             """"value_kb":2.0,"txn_ops":8""",
             """"value_kb":4.0,"txn_ops":12""",
--- a/src/test/kotlin/umberslip/sim/InMemoryKeyValueStoreTest.kt
+++ b/src/test/kotlin/umberslip/sim/InMemoryKeyValueStoreTest.kt
@@ -73,10 +73,10 @@
         val lease = store.open(5.seconds)
         put("a", lease)
         now = 4.seconds
-        store.out = true
+        store.isUnavailable = true
         now = 60.seconds
         store.expire()
-        store.out = false
+        store.isUnavailable = false
         now = 64.seconds
         store.expire()
         assertEquals(Version(1), store.get("a")?.version)
--- a/src/test/kotlin/umberslip/sim/ProtocolLimits.kt
+++ b/src/test/kotlin/umberslip/sim/ProtocolLimits.kt
@@ -29,7 +29,7 @@
     private const val PRECONDITIONS_PER_WRITE = 4
     private val KEY_BYTES = 1..200
 
-    fun provisioning(
+    fun provisioningViolation(
         offer: Offer,
         number: Int,
         instanceTypes: List<InstanceType>,
@@ -43,12 +43,12 @@
         }
     }
 
-    fun termination(machineNames: List<MachineName>): String? {
+    fun terminationViolation(machineNames: List<MachineName>): String? {
         if (machineNames.size <= NAMES_PER_TERMINATION) return null
         return "a termination of ${machineNames.size} machines"
     }
 
-    fun transaction(
+    fun transactionViolation(
         preconditions: List<Precondition>,
         writes: List<Write>,
         limits: StoreSettings,
@@ -65,12 +65,12 @@
                 "a transaction of ${preconditions.size} preconditions"
             bytes > TRANSACTION_BYTES -> "a transaction of $bytes bytes"
             else ->
-                preconditions.firstNotNullOfOrNull { key(it.key) }
-                    ?: writes.firstNotNullOfOrNull { key(it.key) ?: value(it, limits) }
+                preconditions.firstNotNullOfOrNull { keyViolation(it.key) }
+                    ?: writes.firstNotNullOfOrNull { keyViolation(it.key) ?: valueViolation(it, limits) }
         }
     }
 
-    private fun value(
+    private fun valueViolation(
         write: Write,
         limits: StoreSettings,
     ): String? {
@@ -79,12 +79,12 @@
         return if (bytes > limits.valueBytes) "${write.key} takes $bytes bytes" else null
     }
 
-    fun key(key: String): String? {
+    fun keyViolation(key: String): String? {
         val bytes = key.toByteArray().size
         return if (bytes in KEY_BYTES && ' ' !in key) null else "a key of $bytes bytes: $key"
     }
 
-    fun response(body: Any?): String? {
+    fun responseViolation(body: Any?): String? {
         val bytes = Documents.jsonSize(body)
         return if (bytes > BODY_BYTES) "a response of $bytes bytes" else null
     }
--- a/src/test/kotlin/umberslip/sim/RulesTest.kt
+++ b/src/test/kotlin/umberslip/sim/RulesTest.kt
@@ -73,8 +73,8 @@
             cluster.run(1.seconds)
         }
         // Left in peace, everything that was accepted comes to its end.
-        cluster.store.out = false
-        cluster.cloudOut = false
+        cluster.store.isUnavailable = false
+        cluster.isCloudUnavailable = false
         while (cluster.finishedJobs + cluster.cancelledJobs < cluster.acceptedJobs && cluster.now() < 3000.seconds) {
             cluster.run(20.seconds)
         }
@@ -93,8 +93,8 @@
             0, 1 -> cluster.cutZones(random.nextInt(20, 120).seconds)
             2, 3 -> cluster.upMachines().randomOrNull(random)?.let { cluster.hang(it, random.nextInt(5, 40).seconds) }
             4 -> restart(cluster, random.nextInt(3), random)
-            5, 6 -> cluster.cloudOut = true
-            7 -> cluster.cloudOut = false
+            5, 6 -> cluster.isCloudUnavailable = true
+            7 -> cluster.isCloudUnavailable = false
         }
     }
 
@@ -149,9 +149,9 @@
             5, 6 -> cluster.upMachines().randomOrNull(random)?.let { cluster.hang(it, time) }
             7, 8, 9 -> cluster.cut(controller, zone, time)
             10, 11 -> cluster.cutFromStore(controller, time)
-            12 -> cluster.store.out = true
+            12 -> cluster.store.isUnavailable = true
             17, 18 -> cluster.cutZones(random.nextInt(5, 60).seconds)
-            13, 14, 15, 16 -> cluster.store.out = false
+            13, 14, 15, 16 -> cluster.store.isUnavailable = false
         }
     }
 
--- a/src/test/kotlin/umberslip/sim/SimulatedCloud.kt
+++ b/src/test/kotlin/umberslip/sim/SimulatedCloud.kt
@@ -38,7 +38,7 @@
     private val workers: SimulatedWorkers,
 ) {
     /** While set, every request is refused. */
-    var isOut = false
+    var isUnavailable = false
 
     /** While set, responses to provisioning requests come only just in time. */
     var isProvisioningSlow = false
@@ -78,7 +78,7 @@
             // Only where a test asks for it, so that what else happens with a seed stays the same.
             if (faultRates != CloudFaultRates.NONE) fail(execute)
             val luck = random.nextDouble()
-            if (luck < simulation.faultRates.lossy || isOut) throw ServiceUnavailableException("trouble")
+            if (luck < simulation.faultRates.lossy || isUnavailable) throw ServiceUnavailableException("trouble")
             if (luck < simulation.faultRates.lossy + simulation.faultRates.late) {
                 simulation.scope.launch {
                     delay(random.nextLong(500, 40_000))
@@ -125,7 +125,7 @@
             if (isProvisioningSlow) delay(random.nextLong(SLOW_MILLIS, SLOW_MILLIS + 1200))
             return call {
                 provisioningRequests++
-                refuseBeyondLimits(ProtocolLimits.provisioning(offer, number, simulation.size.instanceTypes))
+                refuseBeyondLimits(ProtocolLimits.provisioningViolation(offer, number, simulation.size.instanceTypes))
                 if (rejects(name, offer, number)) reject()
                 if (misbehaviour == CloudMisbehaviour.NEVER_ANSWERS_FIRST_NAME && isFirst(name)) {
                     throw NoResponseException("no response")
@@ -190,7 +190,7 @@
 
         override suspend fun terminate(machineNames: List<MachineName>) =
             call {
-                refuseBeyondLimits(ProtocolLimits.termination(machineNames))
+                refuseBeyondLimits(ProtocolLimits.terminationViolation(machineNames))
                 if (misbehaviour == CloudMisbehaviour.REJECTS_ONE_TERMINATION) {
                     if (firstTerminated == null) firstTerminated = machineNames.first()
                     if (firstTerminated in machineNames) reject()
--- a/src/test/kotlin/umberslip/sim/SimulatedCluster.kt
+++ b/src/test/kotlin/umberslip/sim/SimulatedCluster.kt
@@ -48,7 +48,7 @@
     var cancelAtEnd = 0.0
 
     /** While set, the cloud refuses every request. */
-    var cloudOut by cloud::isOut
+    var isCloudUnavailable by cloud::isUnavailable
 
     /** What the cloud does against its protocol; null while it keeps to it. */
     var cloudMisbehaviour by cloud::misbehaviour
@@ -66,7 +66,7 @@
     var lateWrites by storeFaults::lateWrites
 
     /** From then on the key-value store keeps to its lower limits, without notice. */
-    var lowered by storeFaults::lowered
+    var storeLimitsLowered by storeFaults::limitsLowered
 
     val violations: List<String> get() = simulation.violations
     val starts: Int get() = rules.starts
@@ -237,8 +237,8 @@
 
     /** All faults of the store and the cloud are over. */
     fun endFaults() {
-        store.out = false
-        cloudOut = false
+        store.isUnavailable = false
+        isCloudUnavailable = false
         lateWrites = 0.0
         faultsEndedAt = now()
     }
@@ -248,7 +248,7 @@
         // What broke before may take its leases and its terminations to recover.
         val endedAt = faultsEndedAt
         if (endedAt != null && now() - endedAt >= RECOVERY_TIME) rules.checkWaiting(workers.all())
-        if (store.out || members.indices.none(::isServing)) users.servedSince = now()
+        if (store.isUnavailable || members.indices.none(::isServing)) users.servedSince = now()
     }
 
     private fun isServing(controller: Int): Boolean =
--- a/src/test/kotlin/umberslip/sim/SimulatedStoreLink.kt
+++ b/src/test/kotlin/umberslip/sim/SimulatedStoreLink.kt
@@ -20,7 +20,7 @@
     var lateWrites = 0.0
 
     /** From then on the store keeps to its lower limits, without notice. */
-    var lowered = false
+    var limitsLowered = false
 }
 
 /** A controller's way to the key-value store: requests and responses are lost, or carried out late. */
@@ -47,7 +47,7 @@
         execute: () -> T,
     ): T {
         delay(random.nextLong(1, 12))
-        if (isAway()) throw ServiceUnavailableException("out")
+        if (isUnreachable()) throw ServiceUnavailableException("out")
         val luck = random.nextDouble()
         if (luck < simulation.faultRates.lossy) {
             delay(RESPONSE_TIMEOUT_MILLIS)
@@ -66,7 +66,7 @@
         return answer
     }
 
-    private fun isAway(): Boolean = store.out || cutUntil > simulation.now()
+    private fun isUnreachable(): Boolean = store.isUnavailable || cutUntil > simulation.now()
 
     /** The caller gets no response, and the request is carried out long after. */
     private suspend fun executeLate(
@@ -76,7 +76,7 @@
         simulation.scope.launch {
             delay(afterMillis())
             store.expire()
-            if (!store.out) execute()
+            if (!store.isUnavailable) execute()
         }
         delay(RESPONSE_TIMEOUT_MILLIS)
         throw NoResponseException("late")
@@ -88,7 +88,7 @@
     }
 
     override suspend fun get(key: String): Entry? {
-        ProtocolLimits.key(key)?.let { simulation.violated("the key-value store refused $it") }
+        ProtocolLimits.keyViolation(key)?.let { simulation.violated("the key-value store refused $it") }
         return read { store.get(key) }
     }
 
@@ -109,12 +109,12 @@
         writes: List<Write>,
     ): TransactionResult {
         // Sizes keep within the smaller of the limits now and later, from the start.
-        ProtocolLimits.transaction(preconditions, writes, simulation.settings[member].storeLimits)?.let {
+        ProtocolLimits.transactionViolation(preconditions, writes, simulation.settings[member].storeLimits)?.let {
             simulation.violated("the key-value store refused $it: ${writes.map { write -> write.key }}")
             return TransactionResult.Rejected(it)
         }
-        if (faults.lowered && !writeBudget.take(member, writes.size)) throw RateLimitedException("429")
-        if (faults.lateWrites > 0 && !isAway() && random.nextDouble() < faults.lateWrites) {
+        if (faults.limitsLowered && !writeBudget.take(member, writes.size)) throw RateLimitedException("429")
+        if (faults.lateWrites > 0 && !isUnreachable() && random.nextDouble() < faults.lateWrites) {
             val before = leaderWrites
             executeLate({ random.nextLong(2000, 12_000) }) { applyLate(preconditions, writes, before) }
         }
--- a/src/test/kotlin/umberslip/sim/SimulatedUsers.kt
+++ b/src/test/kotlin/umberslip/sim/SimulatedUsers.kt
@@ -132,7 +132,9 @@
             val to = controller?.takeIf { it in controllers } ?: ready() ?: return null
             val response =
                 withTimeoutOrNull(RESPONSE_TIMEOUT_MILLIS) { controllers.request(to, method, path, body).await() }
-            response?.let { ProtocolLimits.response(it.body) }?.let { simulation.violated("$path answered with $it") }
+            response
+                ?.let { ProtocolLimits.responseViolation(it.body) }
+                ?.let { simulation.violated("$path answered with $it") }
             controller = to.takeIf { response?.close == false }
             return response
         }
--- a/src/test/kotlin/umberslip/sim/SimulatedWorkers.kt
+++ b/src/test/kotlin/umberslip/sim/SimulatedWorkers.kt
@@ -167,7 +167,7 @@
         if (machine.isTerminated) return 0
         if (response == null || response.status != 200) return redirect(machine, to, response)
         if (isHung(machine) || machine.epoch != epoch) return heartbeatInterval()
-        ProtocolLimits.response(response.body)?.let { simulation.violated("${machine.name} got $it") }
+        ProtocolLimits.responseViolation(response.body)?.let { simulation.violated("${machine.name} got $it") }
         val fields = Fields.of(Documents.readCbor(Documents.writeCbor(response.body)))
         if (fields.long("warrant") < machine.fencingToken) return heartbeatInterval()
         machine.fencingToken = fields.long("warrant")
--- a/src/test/kotlin/umberslip/sim/UpgradeFailuresTest.kt
+++ b/src/test/kotlin/umberslip/sim/UpgradeFailuresTest.kt
@@ -15,20 +15,20 @@
                 27,
                 "UPGRADE",
                 runTimeFactor = 2.0,
-                settingsJson = Fixtures::roomyJson,
+                settingsJson = Fixtures::largerLimitsJson,
                 adaptJob = SOME_WITH_MANY_TASKS,
                 play = {
                     for (i in listOf(0, 1, 2)) {
-                        replace(i, Fixtures::loweredJson)
+                        replace(i, Fixtures::nextLimitsJson)
                         pause(7)
                         // One dies before its turn, and comes back as it was; so does the leader, whichever it is.
-                        if (i < 2) replace(2, Fixtures::roomyJson)
+                        if (i < 2) replace(2, Fixtures::largerLimitsJson)
                         restartLeader()
                         pause(7)
                     }
                     withDependencies = true
                     pause(12)
-                    cluster.lowered = true
+                    cluster.storeLimitsLowered = true
                     restartLeader()
                     cancelOpen(2)
                     pause(20)
@@ -41,31 +41,31 @@
                 28,
                 "UPGRADE_ROLLED_BACK",
                 runTimeFactor = 2.0,
-                settingsJson = Fixtures::roomyJson,
+                settingsJson = Fixtures::largerLimitsJson,
                 adaptJob = SOME_WITH_MANY_TASKS,
                 play = {
-                    replace(0, Fixtures::loweredJson)
+                    replace(0, Fixtures::nextLimitsJson)
                     pause(4)
                     cluster.cutZones(8.seconds)
-                    replace(1, Fixtures::loweredJson)
+                    replace(1, Fixtures::nextLimitsJson)
                     pause(3)
                     (0..2).forEach(cluster::stopController)
                     pause(2)
                     (0..2).forEach(cluster::startController)
                     pause(10)
                     for (i in 0..1) {
-                        replace(i, Fixtures::roomyJson)
+                        replace(i, Fixtures::largerLimitsJson)
                         pause(4)
                     }
                     restartLeader()
                     pause(6)
                     for (i in 0..2) {
-                        replace(i, Fixtures::loweredJson)
+                        replace(i, Fixtures::nextLimitsJson)
                         pause(4)
                     }
                     withDependencies = true
                     pause(10)
-                    cluster.lowered = true
+                    cluster.storeLimitsLowered = true
                     restartLeader()
                     cancelOpen(2)
                     pause(20)
@@ -79,14 +79,14 @@
                 "LIMITS_LOWERED",
                 runTimeFactor = 2.0,
                 withDependencies = true,
-                settingsJson = Fixtures::loweredJson,
+                settingsJson = Fixtures::nextLimitsJson,
                 adaptJob = SOME_WITH_MANY_TASKS,
                 play = {
-                    cluster.store.out = true
+                    cluster.store.isUnavailable = true
                     pause(4)
-                    cluster.lowered = true
+                    cluster.storeLimitsLowered = true
                     restartLeader()
-                    cluster.store.out = false
+                    cluster.store.isUnavailable = false
                     pause(15)
                     cluster
                         .upMachines()
--- a/src/test/kotlin/umberslip/sim/WaitingWorkAlertTest.kt
+++ b/src/test/kotlin/umberslip/sim/WaitingWorkAlertTest.kt
@@ -16,7 +16,7 @@
         submit(cluster, number = 1, tasks = 4)
         cluster.run(20.seconds)
         assertTrue(cluster.upMachines().isNotEmpty())
-        cluster.cloudOut = true
+        cluster.isCloudUnavailable = true
         repeat(10) { submit(cluster, number = 10 + it, tasks = 60) }
         cluster.run(80.seconds)
         val metrics = checkNotNull(cluster.leaderMetrics())
