--- a/src/test/kotlin/umberslip/api/JobApiTest.kt
+++ b/src/test/kotlin/umberslip/api/JobApiTest.kt
@@ -154,7 +154,7 @@
     fun `during an outage of the key-value store every request gets 503 with a time to retry`() {
         val first = job(1)
         submit(first)
-        cluster.store.isUnavailable = true
+        cluster.store.out = true
         cluster.run(2.seconds)
         for (
         response in listOf(
@@ -223,7 +223,7 @@
         val before = refused()
         val pending = cluster.send(leader, "GET", "/api/jobs/run-000001")
         cluster.run(1.milliseconds)
-        cluster.store.isUnavailable = true
+        cluster.store.out = true
         cluster.freeze(leader, 3.seconds)
         cluster.run(5.seconds)
         assertEquals(503, pending.getCompleted().status)
--- a/src/test/kotlin/umberslip/recovery/GeneratedRestartsTest.kt
+++ b/src/test/kotlin/umberslip/recovery/GeneratedRestartsTest.kt
@@ -58,14 +58,14 @@
         fun restartAll() {
             if (random.nextBoolean()) cancelSome(4)
             (0..2).forEach(cluster::stopController)
-            if (random.nextInt(3) == 0) cluster.store.isUnavailable = true
+            if (random.nextInt(3) == 0) cluster.store.out = true
             val outage = outage()
             cluster.run(outage / 2)
             failWhileStopped()
             cluster.run(outage / 2)
             if (random.nextInt(3) == 0) cluster.lateWrites = 0.15
             startControllers()
-            cluster.store.isUnavailable = false
+            cluster.store.out = false
             pause(random.nextInt(1, 6))
             cancelSome(2)
         }
--- a/src/test/kotlin/umberslip/sim/DependencyFailuresTest.kt
+++ b/src/test/kotlin/umberslip/sim/DependencyFailuresTest.kt
@@ -51,9 +51,9 @@
                         cluster.leader()?.let { cluster.cutFromStore(it, 14.seconds) }
                         cancelOpen(6)
                         cluster.run(1900.milliseconds)
-                        cluster.store.isUnavailable = true
+                        cluster.store.out = true
                         pause(40)
-                        cluster.store.isUnavailable = false
+                        cluster.store.out = false
                         pause(12)
                     }
                 },
--- a/src/test/kotlin/umberslip/sim/EmptyFleetTest.kt
+++ b/src/test/kotlin/umberslip/sim/EmptyFleetTest.kt
@@ -23,7 +23,7 @@
         cluster.run(8.seconds)
         repeat(size.members, cluster::startController)
         cluster.run(67.seconds)
-        cluster.store.isUnavailable = true
+        cluster.store.out = true
         cluster.run(14.seconds)
         cluster.endFaults()
         cluster.run(60.seconds)
--- a/src/test/kotlin/umberslip/sim/FailureScenario.kt
+++ b/src/test/kotlin/umberslip/sim/FailureScenario.kt
@@ -103,9 +103,9 @@
         also()
         cluster.run((until - cluster.now()).coerceAtLeast(1.milliseconds))
         cancelledInGap += cluster.cancelledJobs - before
-        cluster.store.isUnavailable = true
+        cluster.store.out = true
         pause(45)
-        cluster.store.isUnavailable = false
+        cluster.store.out = false
         pause(15)
     }
 
--- a/src/test/kotlin/umberslip/sim/InMemoryKeyValueStore.kt
+++ b/src/test/kotlin/umberslip/sim/InMemoryKeyValueStore.kt
@@ -34,14 +34,14 @@
     private val log = ArrayList<Change>()
     private var revision = 0L
     private var nextLease = 0L
-    var isUnavailable = false
+    var out = false
         set(value) {
             if (field && !value) leases.values.forEach { it.until = now() + it.ttl }
             field = value
         }
 
     fun expire() {
-        if (isUnavailable) return
+        if (out) return
         for ((id, lease) in leases.toList()) if (lease.until <= now()) end(id)
     }
 
--- a/src/test/kotlin/umberslip/sim/InMemoryKeyValueStoreTest.kt
+++ b/src/test/kotlin/umberslip/sim/InMemoryKeyValueStoreTest.kt
@@ -73,10 +73,10 @@
         val lease = store.open(5.seconds)
         put("a", lease)
         now = 4.seconds
-        store.isUnavailable = true
+        store.out = true
         now = 60.seconds
         store.expire()
-        store.isUnavailable = false
+        store.out = false
         now = 64.seconds
         store.expire()
         assertEquals(Version(1), store.get("a")?.version)
--- a/src/test/kotlin/umberslip/sim/LeaderFailuresTest.kt
+++ b/src/test/kotlin/umberslip/sim/LeaderFailuresTest.kt
@@ -12,8 +12,8 @@
                 "TEN_LEADERS",
                 play = {
                     repeat(10) {
-                        if (it == 4) cluster.store.isUnavailable = true
-                        if (it == 7) cluster.store.isUnavailable = false
+                        if (it == 4) cluster.store.out = true
+                        if (it == 7) cluster.store.out = false
                         restartLeader()
                         pause(12)
                     }
@@ -91,13 +91,13 @@
                 runTimeFactor = 6.0,
                 play = {
                     repeat(3) {
-                        cluster.store.isUnavailable = random.nextBoolean()
+                        cluster.store.out = random.nextBoolean()
                         pause(random.nextInt(1, 3))
                         cluster.leader()?.let { cluster.freeze(it, random.nextInt(8, 25).seconds) }
-                        cluster.store.isUnavailable = true
+                        cluster.store.out = true
                         cancelSome(3)
                         pause(random.nextInt(3, 28))
-                        cluster.store.isUnavailable = false
+                        cluster.store.out = false
                         cancelSome(3)
                         pause(15)
                     }
@@ -116,9 +116,9 @@
                         cluster.run(200.milliseconds)
                         cancelSome(8)
                         cluster.run(random.nextInt(1500, 2600).milliseconds)
-                        cluster.store.isUnavailable = true
+                        cluster.store.out = true
                         pause(50)
-                        cluster.store.isUnavailable = false
+                        cluster.store.out = false
                         pause(15)
                     }
                 },
--- a/src/test/kotlin/umberslip/sim/ProtocolLimits.kt
+++ b/src/test/kotlin/umberslip/sim/ProtocolLimits.kt
@@ -66,11 +66,11 @@
             bytes > TRANSACTION_BYTES -> "a transaction of $bytes bytes"
             else ->
                 preconditions.firstNotNullOfOrNull { keyViolation(it.key) }
-                    ?: writes.firstNotNullOfOrNull { keyViolation(it.key) ?: valueViolation(it, limits) }
+                    ?: writes.firstNotNullOfOrNull { keyViolation(it.key) ?: value(it, limits) }
         }
     }
 
-    private fun valueViolation(
+    private fun value(
         write: Write,
         limits: StoreSettings,
     ): String? {
--- a/src/test/kotlin/umberslip/sim/ProvisioningSoakTest.kt
+++ b/src/test/kotlin/umberslip/sim/ProvisioningSoakTest.kt
@@ -67,8 +67,8 @@
                 REJECTED_UNTIL -> cluster.cloudMisbehaviour = null
                 75 -> repeat(size.members, cluster::stopController)
                 78 -> repeat(size.members, cluster::startController)
-                115 -> cluster.store.isUnavailable = true
-                125 -> cluster.store.isUnavailable = false
+                115 -> cluster.store.out = true
+                125 -> cluster.store.out = false
             }
             cluster.run(1.seconds)
             // No controller provisions while all are away or the key-value store is.
--- a/src/test/kotlin/umberslip/sim/RulesTest.kt
+++ b/src/test/kotlin/umberslip/sim/RulesTest.kt
@@ -73,7 +73,7 @@
             cluster.run(1.seconds)
         }
         // Left in peace, everything that was accepted comes to its end.
-        cluster.store.isUnavailable = false
+        cluster.store.out = false
         cluster.isCloudUnavailable = false
         while (cluster.finishedJobs + cluster.cancelledJobs < cluster.acceptedJobs && cluster.now() < 3000.seconds) {
             cluster.run(20.seconds)
@@ -149,9 +149,9 @@
             5, 6 -> cluster.upMachines().randomOrNull(random)?.let { cluster.hang(it, time) }
             7, 8, 9 -> cluster.cut(controller, zone, time)
             10, 11 -> cluster.cutFromStore(controller, time)
-            12 -> cluster.store.isUnavailable = true
+            12 -> cluster.store.out = true
             17, 18 -> cluster.cutZones(random.nextInt(5, 60).seconds)
-            13, 14, 15, 16 -> cluster.store.isUnavailable = false
+            13, 14, 15, 16 -> cluster.store.out = false
         }
     }
 
--- a/src/test/kotlin/umberslip/sim/SimulatedCluster.kt
+++ b/src/test/kotlin/umberslip/sim/SimulatedCluster.kt
@@ -237,7 +237,7 @@
 
     /** All faults of the store and the cloud are over. */
     fun endFaults() {
-        store.isUnavailable = false
+        store.out = false
         isCloudUnavailable = false
         lateWrites = 0.0
         faultsEndedAt = now()
@@ -248,7 +248,7 @@
         // What broke before may take its leases and its terminations to recover.
         val endedAt = faultsEndedAt
         if (endedAt != null && now() - endedAt >= RECOVERY_TIME) rules.checkWaiting(workers.all())
-        if (store.isUnavailable || members.indices.none(::isServing)) users.servedSince = now()
+        if (store.out || members.indices.none(::isServing)) users.servedSince = now()
     }
 
     private fun isServing(controller: Int): Boolean =
--- a/src/test/kotlin/umberslip/sim/SimulatedStoreLink.kt
+++ b/src/test/kotlin/umberslip/sim/SimulatedStoreLink.kt
@@ -66,7 +66,7 @@
         return answer
     }
 
-    private fun isUnreachable(): Boolean = store.isUnavailable || cutUntil > simulation.now()
+    private fun isUnreachable(): Boolean = store.out || cutUntil > simulation.now()
 
     /** The caller gets no response, and the request is carried out long after. */
     private suspend fun executeLate(
@@ -76,7 +76,7 @@
         simulation.scope.launch {
             delay(afterMillis())
             store.expire()
-            if (!store.isUnavailable) execute()
+            if (!store.out) execute()
         }
         delay(RESPONSE_TIMEOUT_MILLIS)
         throw NoResponseException("late")
--- a/src/test/kotlin/umberslip/sim/StoreFailuresTest.kt
+++ b/src/test/kotlin/umberslip/sim/StoreFailuresTest.kt
@@ -55,9 +55,9 @@
                     pause(1)
                     cancelSome(8)
                     pause(25)
-                    cluster.store.isUnavailable = true
+                    cluster.store.out = true
                     pause(12)
-                    cluster.store.isUnavailable = false
+                    cluster.store.out = false
                     pause(35)
                 },
             )
@@ -74,10 +74,10 @@
                         pause(1)
                         cancelSome(2)
                         cluster.run(random.nextInt(100, 3000).milliseconds)
-                        cluster.store.isUnavailable = true
+                        cluster.store.out = true
                         if (random.nextBoolean()) restartLeader()
                         cluster.run(random.nextInt(500, 15_000).milliseconds)
-                        cluster.store.isUnavailable = false
+                        cluster.store.out = false
                         cluster.run(random.nextInt(100, 5000).milliseconds)
                     }
                 },
--- a/src/test/kotlin/umberslip/sim/UpgradeFailuresTest.kt
+++ b/src/test/kotlin/umberslip/sim/UpgradeFailuresTest.kt
@@ -82,11 +82,11 @@
                 settingsJson = Fixtures::nextLimitsJson,
                 adaptJob = SOME_WITH_MANY_TASKS,
                 play = {
-                    cluster.store.isUnavailable = true
+                    cluster.store.out = true
                     pause(4)
                     cluster.storeLimitsLowered = true
                     restartLeader()
-                    cluster.store.isUnavailable = false
+                    cluster.store.out = false
                     pause(15)
                     cluster
                         .upMachines()
