--- a/src/test/kotlin/umberslip/sim/ClusterSize.kt
+++ b/src/test/kotlin/umberslip/sim/ClusterSize.kt
@@ -4,8 +4,8 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * How large a simulated cluster is. The small one has short pages and a short memory of changes, so that reading on
- * and reading everything again are exercised too.
+ * The size of a simulated cluster. By default the key-value store has short pages and keeps few changes, so that small
+ * clusters also read further pages and read all records again.
  */
 class ClusterSize(
     val machinesPerOffer: Int,
--- a/src/test/kotlin/umberslip/sim/CombinedFailure.kt
+++ b/src/test/kotlin/umberslip/sim/CombinedFailure.kt
@@ -9,10 +9,10 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** Changes the sample jobs to fit a failure. */
+/** Adapts a sample job to the scenario. */
 typealias JobAdapter = (JobSpec, Random) -> JobSpec
 
-/** Some jobs have many small tasks, so that their progress outgrows a small value. */
+/** Gives some jobs many small tasks, so that their progress exceeds a small limit on the size of values. */
 val SOME_WITH_MANY_TASKS: JobAdapter = { job, random ->
     if (random.nextInt(4) == 0) {
         job.copy(tasks = 150, cpus = 0.1, memoryGb = 0.1, instanceTypes = null, zone = null, team = "green")
@@ -22,18 +22,18 @@
 }
 
 /**
- * Two faults that meet, brought about on purpose from the fortieth second on. The protocol's rules are checked all the
- * time; once the faults are over, nothing may be left waiting and every job has to finish.
+ * A scenario of faults that coincide, injected from second 40 on. The protocol's rules are checked throughout. Once the
+ * faults are over, no job may be left waiting and every job has to end.
  *
- * @param number goes into the seed, so it never changes
+ * @param number part of the random seed, so it must never change
  */
 class CombinedFailure(
     private val number: Int,
     private val name: String,
     private val faultRates: FaultRates = FaultRates(lossy = 0.005, late = 0.005),
-    /** How much longer than the samples' the run times of tasks are. */
+    /** The factor by which the run times of the sample jobs' tasks are multiplied. */
     val runTimeFactor: Double = 4.0,
-    /** Whether jobs depend on earlier ones from the start. */
+    /** Whether submitted jobs depend on earlier ones from the start. */
     val withDependencies: Boolean = false,
     private val settingsJson: (String) -> String = Fixtures::settingsJson,
     val adaptJob: JobAdapter = { job, _ -> job },
@@ -65,17 +65,17 @@
         }
     }
 
-    /** In every other run the recovery is switched on, and not on all controllers. */
+    /** Switches the recovery on for every other seed, but not on all controllers. */
     private fun tuning(
         controller: Int,
         seed: Int,
     ): Tuning {
-        val on = seed % 2 == 0 && controller != 1
-        return Tuning(recovery = RecoveryTuning(track = on, returnMissing = on))
+        val isRecoveryOn = seed % 2 == 0 && controller != 1
+        return Tuning(recovery = RecoveryTuning(track = isRecoveryOn, returnMissing = isRecoveryOn))
     }
 
     companion object {
-        /** Each failure is played with two seeds. */
+        /** Returns the arguments of a parameterized test that plays each failure with two seeds. */
         fun withSeeds(vararg failures: CombinedFailure): List<Array<Any>> {
             val seeds = 1..2
             return failures.flatMap { failure -> seeds.map { arrayOf<Any>(failure, it) } }
--- a/src/test/kotlin/umberslip/sim/CombinedFailures.kt
+++ b/src/test/kotlin/umberslip/sim/CombinedFailures.kt
@@ -3,7 +3,7 @@
 import org.junit.jupiter.params.ParameterizedTest
 import org.junit.jupiter.params.provider.MethodSource
 
-/** Plays each combined failure of a subclass, which its static method `failures` lists, with each seed. */
+/** Plays each combined failure with each seed. The static method `failures` of a subclass lists both. */
 abstract class CombinedFailures {
     @ParameterizedTest
     @MethodSource("failures")
--- a/src/test/kotlin/umberslip/sim/FailureScenario.kt
+++ b/src/test/kotlin/umberslip/sim/FailureScenario.kt
@@ -5,22 +5,22 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** One run of a combined failure: what it can do to the cluster, while jobs go on being submitted. */
+/** One run of a combined failure: submits jobs to the cluster and offers the faults that the failure injects. */
 class FailureScenario(
     private val failure: CombinedFailure,
     val cluster: SimulatedCluster,
     val random: Random,
 ) {
-    /** Whether new jobs depend on earlier ones. */
+    /** Whether the jobs submitted from now on depend on earlier ones. */
     var withDependencies = failure.withDependencies
 
-    /** Cancellations that were answered while the leader could not know of them. */
+    /** The number of cancellations that were answered while the leader could not know of them. */
     var cancelledInGap = 0
         private set
     private val submitted = ArrayList<JobSpec>()
     private var nextNumber = 0
 
-    /** Lets time pass, with a job submitted every now and then. */
+    /** Lets time pass, and submits jobs at random meanwhile. */
     fun pause(seconds: Int) =
         repeat(seconds) {
             submitJobs()
@@ -35,7 +35,7 @@
 
     private fun submitJob() {
         val job = Fixtures.job(random, nextNumber++)
-        val dependencies = if (withDependencies) someSubmitted() else emptyList()
+        val dependencies = if (withDependencies) chooseDependencies() else emptyList()
         val adapted =
             job.copy(
                 expectedSeconds = job.expectedSeconds * failure.runTimeFactor,
@@ -47,13 +47,13 @@
         cluster.submit(spec, null)
     }
 
-    private fun someSubmitted(): List<JobSpec> =
+    private fun chooseDependencies(): List<JobSpec> =
         submitted
             .takeLast(LATEST_JOBS)
             .shuffled(random)
             .take(random.nextInt(0, 3))
 
-    /** Ends a controller and starts it with other settings. */
+    /** Stops a controller and starts it with other settings. */
     fun replace(
         controller: Int,
         settingsJson: (String) -> String,
@@ -86,23 +86,23 @@
             .forEach(cluster::cancel)
 
     /**
-     * The key-value store refuses the leader alone; jobs are cancelled through other controllers within [cancelWithin]
-     * milliseconds; then the store is out for all.
+     * Cuts only the leader off from the key-value store, cancels jobs through other controllers within [cancelWithin]
+     * milliseconds, runs [afterCancellations], and then makes the store unavailable to all controllers.
      */
     fun cancellationGap(
         cancelWithin: IntRange,
-        also: () -> Unit = {},
+        afterCancellations: () -> Unit = {},
     ) {
         cluster.leader()?.let { cluster.cutFromStore(it, 14.seconds) }
-        val before = cluster.cancelledJobs
-        val until = cluster.now() + 1900.milliseconds
+        val cancelledBefore = cluster.cancelledJobs
+        val gapEnd = cluster.now() + 1900.milliseconds
         for (id in cluster.runningJobs().shuffled(random).take(8)) {
             cluster.run((random.nextInt(cancelWithin.first, cancelWithin.last + 1) / 8).milliseconds)
             cluster.cancel(id)
         }
-        also()
-        cluster.run((until - cluster.now()).coerceAtLeast(1.milliseconds))
-        cancelledInGap += cluster.cancelledJobs - before
+        afterCancellations()
+        cluster.run((gapEnd - cluster.now()).coerceAtLeast(1.milliseconds))
+        cancelledInGap += cluster.cancelledJobs - cancelledBefore
         cluster.store.out = true
         pause(45)
         cluster.store.out = false
@@ -112,7 +112,7 @@
     private companion object {
         const val MAX_TASKS = 6
 
-        /** A job depends on some of the latest so many. */
+        /** The dependencies of a job are chosen from this many of the latest jobs. */
         const val LATEST_JOBS = 7
     }
 }
--- a/src/test/kotlin/umberslip/sim/Fixtures.kt
+++ b/src/test/kotlin/umberslip/sim/Fixtures.kt
@@ -6,7 +6,7 @@
 import umberslip.core.Shape
 import kotlin.random.Random
 
-/** Settings and jobs as a deployment might have them, made from a seed. */
+/** Sample settings, and sample jobs generated from a seed, such as a deployment might have. */
 object Fixtures {
     fun settingsJson(member: String): String =
         json(
@@ -18,21 +18,30 @@
             """"rps":300.0,"write_rps":75.0,"value_kb":2.0,"txn_ops":8""",
         )
 
-    /** As [settingsJson], with a key-value store that may lower its limits at any time. */
+    /**
+     * The settings of [largerLimitsJson], with lower limits announced, to which the key-value store may change at any
+     * time.
+     */
     fun nextLimitsJson(member: String): String =
         largerLimitsJson(member).replace(
             """"txn_ops":12""",
             """"txn_ops":12,"next":{"write_rps":30.0,"value_kb":1.0,"txn_ops":4}""",
         )
 
-    /** The same as a version takes it that does not know of later limits. */
+    /**
+     * The settings of [settingsJson] with larger limits of the key-value store. They are those of [nextLimitsJson] as
+     * read by a version that does not know of announced limits.
+     */
     fun largerLimitsJson(member: String): String =
         settingsJson(member).replace(
             """"value_kb":2.0,"txn_ops":8""",
             """"value_kb":4.0,"txn_ops":12""",
         )
 
-    /** Few controllers, many teams, frequent heartbeats and a slow key-value store with small values. */
+    /**
+     * The settings of a fleet with few controllers, many teams, frequent heartbeats and a slow key-value store with
+     * small values.
+     */
     fun teamsFleetJson(member: String): String =
         json(
             member,
@@ -42,7 +51,7 @@
             """"rps":180.0,"write_rps":40.0,"value_kb":8.0,"txn_ops":12""",
         )
 
-    /** Many controllers and machines, one team without a limit. */
+    /** The settings of a fleet with many controllers and machines, and with one team that has no limit. */
     fun largeFleetJson(member: String): String =
         json(
             member,
@@ -60,7 +69,7 @@
         store: String,
     ): String =
         """{"member":"$member","area":"${area(member)}","bind":"127.0.0.1:8080","peer_listen":"127.0.0.1:8081",
-        "known":[${known(member, nodes)}],"endpoints":{
+        "known":[${knownPeers(member, nodes)}],"endpoints":{
             "cloud":"127.0.0.1:1","state":"127.0.0.1:2"
         },"unknown_field":[1,{"a":null}],
         "settings":{"nodes":$nodes,"zones":["east","west"],"teams":[$teams],
@@ -71,7 +80,7 @@
 
     private fun area(member: String) = if (member.last().digitToInt() % 2 == 1) "west" else "east"
 
-    private fun known(
+    private fun knownPeers(
         member: String,
         nodes: Int,
     ): String =
@@ -81,7 +90,7 @@
 
     val TEAMS = listOf("ash", "birch", "cedar", "elm", "fir", "oak")
 
-    /** A job of a fleet's size: many tasks that take little of a machine. */
+    /** Returns a job for a large fleet: many tasks, each of which needs a small part of a machine. */
     fun fleetJob(
         random: Random,
         number: Int,
@@ -100,7 +109,7 @@
             expectedSeconds = random.nextDouble(10.0, 40.0),
         )
 
-    /** A job of one-processor tasks that may run on any machine. */
+    /** Returns a job of tasks with one CPU each that may run on any machine. */
     fun unboundJob(
         random: Random,
         number: Int,
@@ -120,7 +129,7 @@
         random: Random,
         number: Int,
     ): JobSpec {
-        val fits = listOf(listOf("small"), listOf("large"), null, null)
+        val instanceTypeChoices = listOf(listOf("small"), listOf("large"), null, null)
         val tasks = if (random.nextInt(8) == 0) random.nextInt(40, 120) else random.nextInt(1, 12)
         return JobSpec(
             id = JobId("run-%06d".format(number)),
@@ -134,7 +143,7 @@
             memoryGb = listOf(0.5, 2.0, 4.0)[random.nextInt(3)],
             image = "img-${random.nextInt(3)}",
             imageGb = 1.0,
-            instanceTypes = fits[random.nextInt(fits.size)],
+            instanceTypes = instanceTypeChoices[random.nextInt(instanceTypeChoices.size)],
             zone = listOf("east", "west", null, null, null)[random.nextInt(5)],
             oneZone = random.nextInt(5) == 0,
             spread = false,
--- a/src/test/kotlin/umberslip/sim/FreezableDispatcher.kt
+++ b/src/test/kotlin/umberslip/sim/FreezableDispatcher.kt
@@ -7,25 +7,26 @@
 import kotlin.coroutines.CoroutineContext
 
 /**
- * Runs a process's coroutines on [base] and can hold all of them up, as when the process is not scheduled for a while:
- * timers come due meanwhile, and all that became ready runs at once afterwards, in order.
+ * Runs the coroutines of a simulated process on [base] and can suspend all of them, as if the operating system did not
+ * schedule the process for a while. Timers expire meanwhile. Everything that became ready runs in order once the
+ * process continues.
  */
 @OptIn(InternalCoroutinesApi::class)
 class FreezableDispatcher(
     private val base: CoroutineDispatcher,
 ) : CoroutineDispatcher(),
     Delay by base as Delay {
-    private val held = ArrayDeque<Pair<CoroutineContext, Runnable>>()
-    private var frozen = false
+    private val heldBlocks = ArrayDeque<Pair<CoroutineContext, Runnable>>()
+    private var isFrozen = false
 
     fun freeze() {
-        frozen = true
+        isFrozen = true
     }
 
     fun thaw() {
-        frozen = false
-        while (held.isNotEmpty()) {
-            val (context, block) = held.removeFirst()
+        isFrozen = false
+        while (heldBlocks.isNotEmpty()) {
+            val (context, block) = heldBlocks.removeFirst()
             dispatch(context, block)
         }
     }
@@ -34,6 +35,6 @@
         context: CoroutineContext,
         block: Runnable,
     ) {
-        base.dispatch(context, Runnable { if (frozen) held.addLast(context to block) else block.run() })
+        base.dispatch(context, Runnable { if (isFrozen) heldBlocks.addLast(context to block) else block.run() })
     }
 }
--- a/src/test/kotlin/umberslip/sim/InMemoryKeyValueStore.kt
+++ b/src/test/kotlin/umberslip/sim/InMemoryKeyValueStore.kt
@@ -13,7 +13,7 @@
 import java.util.TreeMap
 import kotlin.time.Duration
 
-/** The key-value store's contract, in memory, with leases that run out. */
+/** An in-memory key-value store that follows the published protocol, including leases that expire. */
 class InMemoryKeyValueStore(
     private val size: ClusterSize,
     private val now: () -> Duration,
@@ -26,25 +26,31 @@
 
     private class LeaseRow(
         val ttl: Duration,
-        var until: Duration,
+        var expiresAt: Duration,
     )
 
     private val rows = TreeMap<String, Row>()
     private val leases = HashMap<Long, LeaseRow>()
-    private val log = ArrayList<Change>()
+    private val changeLog = ArrayList<Change>()
     private var revision = 0L
-    private var nextLease = 0L
+    private var lastLeaseId = 0L
+
+    /**
+     * Whether the store is in an outage. No lease expires during an outage, and when it ends, every lease is renewed.
+     */
     var out = false
         set(value) {
-            if (field && !value) leases.values.forEach { it.until = now() + it.ttl }
+            if (field && !value) leases.values.forEach { it.expiresAt = now() + it.ttl }
             field = value
         }
 
+    /** Ends all leases that have expired, unless the store is in an outage. */
     fun expire() {
         if (out) return
-        for ((id, lease) in leases.toList()) if (lease.until <= now()) end(id)
+        for ((id, lease) in leases.toList()) if (lease.expiresAt <= now()) end(id)
     }
 
+    /** Ends a lease and deletes the keys that are bound to it. */
     fun end(id: Long) {
         if (leases.remove(id) == null) return
         rows.filterValues { it.lease == id }.keys.toList().forEach {
@@ -54,7 +60,7 @@
     }
 
     private fun remove(key: String) {
-        if (rows.remove(key) != null) log += Change.Delete(key, Version(revision))
+        if (rows.remove(key) != null) changeLog += Change.Delete(key, Version(revision))
     }
 
     fun get(key: String): Entry? = rows[key]?.let { Entry(key, it.data, Version(it.version)) }
@@ -63,14 +69,14 @@
         prefix: String,
         after: String?,
     ): Page {
-        val all = rows.tailMap(after ?: "", after == null).filterKeys { it.startsWith(prefix) }.entries
-        val page = all.take(minOf(size.pageItems, fitting(all.map { it.value.data })))
+        val matches = rows.tailMap(after ?: "", after == null).filterKeys { it.startsWith(prefix) }.entries
+        val page = matches.take(minOf(size.pageItems, countFitting(matches.map { it.value.data })))
         val entries = page.map { Entry(it.key, it.value.data, Version(it.value.version)) }
-        return Page(entries, all.size > page.size, revision)
+        return Page(entries, matches.size > page.size, revision)
     }
 
-    /** How many of [values] a page holds. */
-    private fun fitting(values: List<Any?>): Int {
+    /** Returns how many of the [values], from the first on, fit into a page of the protocol. */
+    private fun countFitting(values: List<Any?>): Int {
         var bytes = 0
         return values
             .asSequence()
@@ -85,9 +91,13 @@
         prefix: String,
         after: Long,
     ): Changes? {
-        val oldest = if (log.size > size.changesKept) log[log.size - size.changesKept].version.value else 0
-        if (after < oldest) return null
-        return Changes(revision, log.takeLastWhile { it.version.value > after }.filter { it.key.startsWith(prefix) })
+        val oldestKept =
+            if (changeLog.size > size.changesKept) changeLog[changeLog.size - size.changesKept].version.value else 0
+        if (after < oldestKept) return null
+        return Changes(
+            revision,
+            changeLog.takeLastWhile { it.version.value > after }.filter { it.key.startsWith(prefix) },
+        )
     }
 
     fun compareAndSwap(
@@ -96,18 +106,18 @@
     ): TransactionResult {
         val failed = preconditions.filter { (rows[it.key]?.version ?: 0L) != it.version.value }.map { it.key }
         if (failed.isNotEmpty()) return TransactionResult.PreconditionFailed(failed)
-        val leaseExpired = writes.any { it is Write.Put && it.lease != null && it.lease.id !in leases }
-        if (leaseExpired) return TransactionResult.LeaseExpired
+        val isLeaseExpired = writes.any { it is Write.Put && it.lease != null && it.lease.id !in leases }
+        if (isLeaseExpired) return TransactionResult.LeaseExpired
         if (writes.isEmpty()) return TransactionResult.Applied(Version(revision))
         revision++
-        for (w in writes) {
-            when (w) {
-                is Write.Delete -> remove(w.key)
+        for (write in writes) {
+            when (write) {
+                is Write.Delete -> remove(write.key)
                 is Write.Put -> {
-                    // Through the codec, as on the wire.
-                    val data = Documents.readCbor(Documents.writeCbor(w.data))
-                    rows[w.key] = Row(data, revision, w.lease?.id)
-                    log += Change.Put(w.key, data, Version(revision))
+                    // Encoded and decoded, as if the value were sent over the network.
+                    val data = Documents.readCbor(Documents.writeCbor(write.data))
+                    rows[write.key] = Row(data, revision, write.lease?.id)
+                    changeLog += Change.Put(write.key, data, Version(revision))
                 }
             }
         }
@@ -115,13 +125,13 @@
     }
 
     fun open(ttl: Duration): StoreLease {
-        leases[++nextLease] = LeaseRow(ttl, now() + ttl)
-        return StoreLease(nextLease)
+        leases[++lastLeaseId] = LeaseRow(ttl, now() + ttl)
+        return StoreLease(lastLeaseId)
     }
 
     fun renew(lease: StoreLease): Boolean {
         val row = leases[lease.id] ?: return false
-        row.until = now() + row.ttl
+        row.expiresAt = now() + row.ttl
         return true
     }
 }
--- a/src/test/kotlin/umberslip/sim/InMemoryKeyValueStoreTest.kt
+++ b/src/test/kotlin/umberslip/sim/InMemoryKeyValueStoreTest.kt
@@ -13,7 +13,10 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** The stand-in for the key-value store keeps to the protocol's words: one that is too kind would prove nothing. */
+/**
+ * Checks that the in-memory key-value store follows the published protocol. If it were more lenient, the tests that use
+ * it would prove nothing.
+ */
 class InMemoryKeyValueStoreTest {
     private var now = Duration.ZERO
     private val store = InMemoryKeyValueStore(ClusterSize(1, pageItems = 2, changesKept = 3)) { now }
@@ -25,7 +28,7 @@
     ) = store.compareAndSwap(preconditions, listOf(Write.Put(key, mapOf("a" to 1L), lease)))
 
     @Test
-    fun `all conditions of a transaction hold, or nothing of it is carried out`() {
+    fun `a transaction is applied as a whole if all its preconditions hold, and not at all otherwise`() {
         put("a")
         val result =
             store.compareAndSwap(
@@ -44,14 +47,14 @@
     }
 
     @Test
-    fun `a lease that is not renewed takes its keys along, and nothing can be put under it`() {
+    fun `keys are deleted when their lease expires, and no key can be bound to an expired lease`() {
         val lease = store.open(5.seconds)
         put("a", lease)
         now = 4.seconds
         assertTrue(store.renew(lease))
         now = 8.seconds
         store.expire()
-        assertEquals(Version(1), store.get("a")?.version, "renewed in time")
+        assertEquals(Version(1), store.get("a")?.version, "the lease was renewed in time")
         now = 10.seconds
         store.expire()
         assertNull(store.get("a"))
@@ -60,7 +63,7 @@
     }
 
     @Test
-    fun `a put without a lease detaches the key`() {
+    fun `a put without a lease unbinds the key from its lease`() {
         val lease = store.open(5.seconds)
         put("a", lease)
         put("a")
@@ -69,7 +72,7 @@
     }
 
     @Test
-    fun `after an outage every lease has its full time again`() {
+    fun `every lease lasts for its full time again after an outage`() {
         val lease = store.open(5.seconds)
         put("a", lease)
         now = 4.seconds
@@ -86,7 +89,7 @@
     }
 
     @Test
-    fun `changes come in order, and those that are too old are not to be had`() {
+    fun `changes are listed in order, and not listed if older ones than those kept are asked for`() {
         put("a/1")
         put("b/1")
         put("a/2")
--- a/src/test/kotlin/umberslip/sim/ProtocolLimits.kt
+++ b/src/test/kotlin/umberslip/sim/ProtocolLimits.kt
@@ -11,19 +11,19 @@
 
 /**
  * The limits that the protocol publishes for requests to the cloud and the key-value store and for responses to workers
- * and users. Every stand-in refuses what is beyond them and fails its scenario with what these functions say; null
- * where nothing is wrong.
+ * and users. The functions describe what exceeds a limit, or return null if nothing does. The test doubles of these
+ * services refuse such requests, and the scenario fails with the description.
  */
 object ProtocolLimits {
     val MACHINES_PER_REQUEST = 1..50
     const val NAMES_PER_TERMINATION = 100
     const val MACHINES_PER_PAGE = 500
 
-    /** Of a request or of a response to a worker or user, as JSON. */
+    /** The maximum size of a request, or of a response to a worker or user, as JSON. */
     const val BODY_BYTES = 64 * 1024
     const val ENTRIES_PER_PAGE = 1000
 
-    /** Of a page of the key-value store, as JSON. */
+    /** The maximum size of a page of the key-value store, as JSON. */
     const val PAGE_BYTES = 512 * 1024
     private const val TRANSACTION_BYTES = 64 * 1024
     private const val PRECONDITIONS_PER_WRITE = 4
@@ -76,7 +76,7 @@
     ): String? {
         if (write !is Write.Put) return null
         val bytes = Documents.jsonSize(write.data)
-        return if (bytes > limits.valueBytes) "${write.key} takes $bytes bytes" else null
+        return if (bytes > limits.valueBytes) "the value of ${write.key}, of $bytes bytes" else null
     }
 
     fun keyViolation(key: String): String? {
--- a/src/test/kotlin/umberslip/sim/ProtocolRules.kt
+++ b/src/test/kotlin/umberslip/sim/ProtocolRules.kt
@@ -7,8 +7,8 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Checks the protocol's rules against what really is on the machines and what users were answered; knows nothing of
- * what controllers think.
+ * Checks the protocol's rules against the actual state of the machines and the answers that users got. It does not use
+ * the controllers' own view of the cluster.
  */
 class ProtocolRules(
     private val simulation: Simulation,
@@ -17,23 +17,27 @@
     private val cancelWithin = simulation.settings[0].workers.cancel
     private val cpuLimits = simulation.settings[0].teams.associate { it.name to it.cpusMax }
 
-    /** Where each task of a job runs now, and what a team's running tasks take. */
+    /** The machines that run each task, by job and task. */
     private val running = HashMap<String, HashMap<TaskId, HashSet<SimulatedMachine>>>()
+
+    /** The CPUs that a team's running tasks take, by team. */
     private val usedCpus = HashMap<String, Double>()
     private val specs = HashMap<String, JobSpec>()
     private val completedTasks = HashMap<String, HashSet<Int>>()
     private val lastStarted = HashMap<String, Duration>()
 
-    /** Since when a job waits beside a machine with free resources. */
+    /** Since when a job has been waiting although a machine has free resources for it, by job. */
     private val waitingSince = HashMap<String, Duration>()
     private val accepted = HashSet<String>()
     private val cancellationRequested = HashSet<String>()
 
-    /** When users were first answered that a job is cancelled, or done. */
+    /** When users were first answered that a job is cancelled, by job. */
     private val answeredCancelled = HashMap<String, Duration>()
+
+    /** When users were first answered that a job is done, by job. */
     private val answeredDone = HashMap<String, Duration>()
 
-    /** How many tasks started. */
+    /** The number of attempts of tasks that began to run. */
     var starts = 0
         private set
     val acceptedJobs: Int get() = accepted.size
@@ -54,16 +58,16 @@
 
     fun isAccepted(id: String): Boolean = id in accepted
 
-    /** False where it was requested before. */
+    /** Notes that a cancellation is requested. Returns false if one was requested before. */
     fun cancellationRequested(id: String): Boolean = cancellationRequested.add(id)
 
-    /** Accepted jobs that have not ended, of those that nobody cancelled. */
+    /** Returns the accepted jobs that have not ended and for which no cancellation was requested. */
     fun openJobs(): List<String> {
         val unfinished = accepted.filter { it !in answeredDone && it !in answeredCancelled }
         return unfinished.filter { it !in cancellationRequested }
     }
 
-    /** Accepted jobs that have tasks on machines, of those that nobody cancelled. */
+    /** Returns the accepted jobs that have running tasks and for which no cancellation was requested. */
     fun runningJobs(): List<String> =
         running
             .filterValues { tasks -> tasks.values.any { it.isNotEmpty() } }
@@ -74,18 +78,21 @@
 
     fun isCompleted(id: TaskId): Boolean = completedTasks[id.job.value]?.contains(id.index) == true
 
-    /** True if it was the last one of its job. */
+    /** Notes that a task completed. Returns true if all tasks of its job have completed. */
     fun completed(task: SimulatedTask): Boolean {
-        val all = completedTasks.getOrPut(task.spec.id.value) { HashSet() }
-        all.add(task.id.index)
-        return all.size == task.spec.tasks
+        val indices = completedTasks.getOrPut(task.spec.id.value) { HashSet() }
+        indices.add(task.id.index)
+        return indices.size == task.spec.tasks
     }
 
-    /** A worker got a start command: only one that was under way at the cancellation may still come. */
+    /**
+     * Notes that a worker received a start command. Once the cancellation of the job was answered, only start commands
+     * that were already under way may still arrive.
+     */
     fun startReceived(id: TaskId) {
         val cancelledAt = answeredCancelled[id.job.value] ?: return
         val since = simulation.now() - cancelledAt
-        if (since > STARTS_UNDER_WAY) simulation.violated("$id started $since after its cancellation was answered")
+        if (since > MAX_START_DELAY) simulation.violated("start of $id $since after its cancellation was answered")
     }
 
     fun started(
@@ -95,22 +102,22 @@
         starts++
         val id = task.spec.id.value
         lastStarted[id] = simulation.now()
-        val ofJob = running.getOrPut(id) { HashMap() }
-        checkRunsOnce(machine, task, ofJob[task.id].orEmpty())
-        ofJob.getOrPut(task.id) { HashSet() } += machine
+        val machinesByTask = running.getOrPut(id) { HashMap() }
+        checkRunsOnce(machine, task, machinesByTask[task.id].orEmpty())
+        machinesByTask.getOrPut(task.id) { HashSet() } += machine
         checkQuota(task.spec)
-        checkPlace(machine, task, ofJob)
+        checkPlacement(machine, task, machinesByTask)
         checkNotCancelled(task)
         checkDependencies(task)
     }
 
-    /** A hung machine's tasks count until its lease expires. */
+    /** Checks that no other machine runs the task. A machine, even a hung one, counts until its lease expires. */
     private fun checkRunsOnce(
         machine: SimulatedMachine,
         task: SimulatedTask,
-        others: Collection<SimulatedMachine>,
+        otherMachines: Collection<SimulatedMachine>,
     ) {
-        for (other in others) {
+        for (other in otherMachines) {
             if (isLeaseValid(other)) simulation.violated("ran_twice: ${task.id} on ${other.name} and ${machine.name}")
         }
     }
@@ -121,25 +128,25 @@
         if (used > limit + EPSILON) simulation.violated("quota: ${spec.team} uses $used")
     }
 
-    private fun checkPlace(
+    private fun checkPlacement(
         machine: SimulatedMachine,
         task: SimulatedTask,
-        ofJob: Map<TaskId, Set<SimulatedMachine>>,
+        machinesByTask: Map<TaskId, Set<SimulatedMachine>>,
     ) {
         val spec = task.spec
         val offer = machine.offer
-        if (spec.instanceTypes != null && offer.type !in spec.instanceTypes.orEmpty()) wrongPlace(task, machine)
-        if (spec.zone != null && spec.zone != offer.zone) wrongPlace(task, machine)
-        if (offer.spot && !spec.spot) wrongPlace(task, machine)
+        if (spec.instanceTypes != null && offer.type !in spec.instanceTypes.orEmpty()) reportWrongPlace(task, machine)
+        if (spec.zone != null && spec.zone != offer.zone) reportWrongPlace(task, machine)
+        if (offer.spot && !spec.spot) reportWrongPlace(task, machine)
         if (!spec.oneZone && !spec.spread) return
-        val zones = ofJob.values.flatMap { on -> on.map { it.offer.zone } }
+        val zones = machinesByTask.values.flatMap { machines -> machines.map { it.offer.zone } }
         if (spec.oneZone && zones.toSet().size > 1) simulation.violated("wrong_place: ${spec.id.value} in $zones")
         if (spec.spread && zones.count { it == offer.zone } > spec.maxPerZone) {
             simulation.violated("wrong_place: ${spec.id.value} not spread")
         }
     }
 
-    private fun wrongPlace(
+    private fun reportWrongPlace(
         task: SimulatedTask,
         machine: SimulatedMachine,
     ) = simulation.violated("wrong_place: ${task.id} on ${machine.offer}")
@@ -149,7 +156,10 @@
         if (simulation.now() - cancelledAt > cancelWithin) simulation.violated("ran_cancelled: ${task.id} starts")
     }
 
-    /** By the record, not by what is on the machines: a done that is about to be written does not count. */
+    /**
+     * Checks that every dependency has completed all tasks and has an outcome record that says done. Completed tasks
+     * alone do not suffice: a job may not start while that record is still to be written.
+     */
     private fun checkDependencies(task: SimulatedTask) {
         for (dependency in task.spec.dependencies) {
             val id = dependency.value
@@ -160,8 +170,8 @@
         }
     }
 
-    /** The task exited, or was killed. */
-    fun left(
+    /** Notes that a task exited or was killed. */
+    fun stopped(
         machine: SimulatedMachine,
         task: SimulatedTask,
     ) {
@@ -170,8 +180,11 @@
         usedCpus.merge(task.spec.team, -task.spec.cpus, Double::plus)
     }
 
-    /** To be called again and again: no task may go on for too long after its cancellation. */
-    fun check(machine: SimulatedMachine) {
+    /**
+     * Checks that no task on the machine still runs when the time that a cancellation has is over. To be called
+     * repeatedly.
+     */
+    fun checkCancelledTasks(machine: SimulatedMachine) {
         for (task in machine.tasks.values) {
             if (!task.isRunning) continue
             val cancelledAt = answeredCancelled[task.spec.id.value] ?: continue
@@ -189,25 +202,25 @@
     // ---- answers to users ----
 
     /**
-     * A user was answered [status] to a request that was sent at [requestedAt]. A request that was under way when the
-     * user was answered something final may cross it.
+     * Notes that a user was answered [status] to a request that was sent at [requestedAt]. The answer may be out of
+     * date if the request was already under way when another answer reported the job as done or cancelled.
      */
     fun answered(
         id: String,
         status: String,
         requestedAt: Duration,
     ) {
-        val isOpen = status == QUEUED || status == RUNNING
+        val isUnfinished = status == QUEUED || status == RUNNING
         val finalAt = maxOf(answeredDone[id] ?: Duration.ZERO, answeredCancelled[id] ?: Duration.ZERO)
-        val crossed = finalAt >= requestedAt && isOpen
-        if (id in answeredDone && status != DONE && !crossed) {
+        val isOutdated = finalAt >= requestedAt && isUnfinished
+        if (id in answeredDone && status != DONE && !isOutdated) {
             simulation.violated("went_back: $id was done, now $status")
         }
-        if (id in answeredCancelled && status != CANCELLED && !crossed) {
+        if (id in answeredCancelled && status != CANCELLED && !isOutdated) {
             simulation.violated("went_back: $id was cancelled, now $status")
         }
         if (status == DONE) answeredDone(id)
-        if (isOpen) checkNotOrphaned(id, status, requestedAt)
+        if (isUnfinished) checkNotOrphaned(id, status, requestedAt)
         if (status == CANCELLED) answeredCancelled(id)
     }
 
@@ -216,7 +229,10 @@
         if (isFirst && (completedTasks[id]?.size ?: 0) < specs.getValue(id).tasks) simulation.violated("not_done: $id")
     }
 
-    /** Requested after its user was answered that a job which this one depends on is cancelled. */
+    /**
+     * Checks that the job is not reported as queued or running to a request that was sent after users were answered
+     * that the job, or one that it depends on, is cancelled.
+     */
     private fun checkNotOrphaned(
         id: String,
         status: String,
@@ -234,7 +250,7 @@
         answeredCancelled.putIfAbsent(id, simulation.now())
     }
 
-    /** The job and all that it depends on, directly or through others. */
+    /** Returns the job and all jobs that it depends on, directly or through other jobs. */
     private fun withDependencies(id: String): Set<String> {
         val all = LinkedHashSet<String>()
         val open = ArrayDeque(listOf(id))
@@ -248,13 +264,13 @@
     // ---- waiting ----
 
     /**
-     * To be called once all faults are over: no job may wait for long while a machine that fits has free resources and
-     * its team is under its limit.
+     * Checks that no job waits for longer than [MAX_WAIT] while a machine that it may use has free resources and its
+     * team is below its limit. To be called repeatedly once all faults are over.
      */
     fun checkWaiting(machines: Collection<SimulatedMachine>) {
         for (id in accepted) {
             val spec = specs.getValue(id)
-            val machine = if (isWaiting(spec)) firstWithSpace(spec, machines) else null
+            val machine = if (isWaiting(spec)) firstWithFreeResources(spec, machines) else null
             if (machine == null) {
                 waitingSince.remove(id)
                 continue
@@ -262,13 +278,16 @@
             val since = maxOf(waitingSince.getOrPut(id) { simulation.now() }, lastStarted[id] ?: Duration.ZERO)
             if (simulation.now() - since > MAX_WAIT) {
                 simulation.violated(
-                    "left waiting: $id since $since, and ${machine.name} (${machine.offer}) has free resources; $spec",
+                    "left waiting: $id since $since, but ${machine.name} (${machine.offer}) has free resources; $spec",
                 )
             }
         }
     }
 
-    /** Accepted jobs, not cancelled, of which some task neither runs nor has completed. */
+    /**
+     * Returns the accepted jobs whose dependencies are done and of which some task neither runs nor has completed. Jobs
+     * for which a cancellation was requested are left out.
+     */
     fun waitingJobs(): List<JobSpec> = accepted.map(specs::getValue).filter(::isWaiting)
 
     private fun isWaiting(spec: JobSpec): Boolean {
@@ -280,14 +299,14 @@
             runningTasks + (completedTasks[id]?.size ?: 0) < spec.tasks
     }
 
-    private fun firstWithSpace(
+    private fun firstWithFreeResources(
         spec: JobSpec,
         machines: Collection<SimulatedMachine>,
     ): SimulatedMachine? {
         val limit = cpuLimits[spec.team]
         if (limit != null && (usedCpus[spec.team] ?: 0.0) + spec.cpus > limit + EPSILON) return null
-        val zones = running[spec.id.value].orEmpty().values.flatMap { on -> on.map { it.offer.zone } }
-        return machines.firstOrNull { isUsable(it) && isAllowed(spec, it, zones) && hasSpace(spec, it) }
+        val zones = running[spec.id.value].orEmpty().values.flatMap { machines -> machines.map { it.offer.zone } }
+        return machines.firstOrNull { isUsable(it) && isAllowed(spec, it, zones) && hasFreeResources(spec, it) }
     }
 
     private fun isUsable(machine: SimulatedMachine): Boolean {
@@ -308,7 +327,7 @@
             zones.count { it == offer.zone } < spec.maxPerZone
     }
 
-    private fun hasSpace(
+    private fun hasFreeResources(
         spec: JobSpec,
         machine: SimulatedMachine,
     ): Boolean {
@@ -318,10 +337,10 @@
             instanceType.memoryGb - present.sumOf { it.spec.memoryGb } >= spec.memoryGb
     }
 
-    /** For a failed run's message: the jobs that have not ended. */
+    /** Describes the jobs that have not ended, for the message of a failed run. */
     fun describeOpenJobs(): String =
         (accepted - answeredDone.keys - answeredCancelled.keys).joinToString("\n") { id ->
-            "$id ${specs[id]} done ${completedTasks[id]?.size ?: 0}"
+            "$id ${specs[id]}, completed tasks: ${completedTasks[id]?.size ?: 0}"
         }
 
     private companion object {
@@ -331,8 +350,11 @@
         const val CANCELLED = "aborted"
         const val EPSILON = 1e-6
 
-        /** The lease within which starts are answered, and the time after which a worker drops a response. */
-        val STARTS_UNDER_WAY = 8.seconds
+        /**
+         * How long a start command may still be under way after a cancellation was answered: the leader's lease, within
+         * which starts are sent, and the time-out after which a worker drops a response.
+         */
+        val MAX_START_DELAY = 8.seconds
         val MAX_WAIT = 90.seconds
     }
 }
--- a/src/test/kotlin/umberslip/sim/SimulatedCloud.kt
+++ b/src/test/kotlin/umberslip/sim/SimulatedCloud.kt
@@ -17,8 +17,13 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * The shares of requests to the cloud that go wrong all the time: refused by its rate limit or for now, rejected,
- * carried out without an answer, or carried out in part.
+ * The shares of requests to the cloud that fail throughout a run.
+ *
+ * @param rateLimited of all requests: refused because of the cloud's rate limit
+ * @param unavailable of all requests: refused because the cloud is temporarily unavailable
+ * @param rejected of all requests: rejected for what they ask
+ * @param unanswered of all requests: carried out, but the response is lost
+ * @param partial of provisioning requests that are carried out: provision fewer machines than requested
  */
 class CloudFaultRates(
     val rateLimited: Double = 0.0,
@@ -32,76 +37,76 @@
     }
 }
 
-/** The cloud, as all controllers see it. */
+/** The simulated cloud, which all controllers share. */
 class SimulatedCloud(
     private val simulation: Simulation,
     private val workers: SimulatedWorkers,
 ) {
-    /** While set, every request is refused. */
+    /** While set, every request is refused as unavailable. */
     var isUnavailable = false
 
-    /** While set, responses to provisioning requests come only just in time. */
+    /** While set, responses to provisioning requests arrive only just before the time-out. */
     var isProvisioningSlow = false
 
     var faultRates = CloudFaultRates.NONE
 
-    /** What the cloud does against its protocol; null while it keeps to it. */
+    /** How the cloud violates its protocol; null while it follows it. */
     var misbehaviour: CloudMisbehaviour? = null
 
-    /** Provisioning requests that reached the cloud, those that it rejected included. */
+    /** The number of provisioning requests that reached the cloud, including those that it rejected. */
     var provisioningRequests = 0
         private set
 
-    /** The first name of a request, and the first name of a machine, of which something is rejected. */
-    private var firstRequest: String? = null
-    private var firstTerminated: MachineName? = null
+    /** The request name and the machine that some kinds of [misbehaviour] apply to: the first ones that were seen. */
+    private var firstRequestName: String? = null
+    private var firstTerminatedMachine: MachineName? = null
 
-    /** What was provisioned by the name of the request; a repeated one gets the same answer. */
-    private val provisioned = HashMap<String, List<MachineName>>()
+    /** The machines that were provisioned, by the name of the request: a repeated request gets the same result. */
+    private val machinesByRequest = HashMap<String, List<MachineName>>()
 
-    /** What each name of a request stands for. */
-    private val wanted = HashMap<String, Pair<Offer, Int>>()
+    /** The offer and number of machines of each request, by its name: no two requests may share a name. */
+    private val requestsByName = HashMap<String, Pair<Offer, Int>>()
 
-    /** The cloud as one controller reaches it: requests are refused, or carried out late. */
+    /** Returns a controller's connection to the cloud, on which requests may be refused or carried out late. */
     fun linkOf(member: Int): Cloud = Link(member)
 
     private inner class Link(
         private val member: Int,
     ) : Cloud {
         private val random = simulation.random
-        private val requests =
-            RateLimiter(simulation.settings[member].cloudRps * CLOUD_SHARE, { simulation.now() })
+        private val rateLimiter =
+            RateLimiter(simulation.settings[member].cloudRps * CLOUD_RATE_SHARE, { simulation.now() })
 
         private suspend fun <T> call(execute: () -> T): T {
-            requests.take(1, urgent = false)
+            rateLimiter.take(1, urgent = false)
             delay(random.nextLong(50, 300))
-            // Only where a test asks for it, so that what else happens with a seed stays the same.
-            if (faultRates != CloudFaultRates.NONE) fail(execute)
-            val luck = random.nextDouble()
-            if (luck < simulation.faultRates.lossy || isUnavailable) throw ServiceUnavailableException("trouble")
-            if (luck < simulation.faultRates.lossy + simulation.faultRates.late) {
+            // Draws a random number only if a test sets these rates, so that the seeds of other tests keep their runs.
+            if (faultRates != CloudFaultRates.NONE) injectFault(execute)
+            val draw = random.nextDouble()
+            if (draw < simulation.faultRates.lossy || isUnavailable) throw ServiceUnavailableException("unavailable")
+            if (draw < simulation.faultRates.lossy + simulation.faultRates.late) {
                 simulation.scope.launch {
                     delay(random.nextLong(500, 40_000))
                     execute()
                 }
                 delay(RESPONSE_TIMEOUT_MILLIS)
-                throw NoResponseException("late")
+                throw NoResponseException("no response from the cloud; the request is carried out later")
             }
             return execute()
         }
 
-        private suspend fun fail(execute: () -> Any?) {
-            val luck = random.nextDouble()
+        private suspend fun injectFault(execute: () -> Any?) {
+            val draw = random.nextDouble()
             val unavailableBelow = faultRates.rateLimited + faultRates.unavailable
             val rejectedBelow = unavailableBelow + faultRates.rejected
             when {
-                luck < faultRates.rateLimited -> throw RateLimitedException("cloud answered 429")
-                luck < unavailableBelow -> throw ServiceUnavailableException("trouble")
-                luck < rejectedBelow -> reject()
-                luck < rejectedBelow + faultRates.unanswered -> {
+                draw < faultRates.rateLimited -> throw RateLimitedException("cloud answered 429")
+                draw < unavailableBelow -> throw ServiceUnavailableException("unavailable")
+                draw < rejectedBelow -> reject()
+                draw < rejectedBelow + faultRates.unanswered -> {
                     execute()
                     delay(RESPONSE_TIMEOUT_MILLIS)
-                    throw NoResponseException("answer lost")
+                    throw NoResponseException("response of the cloud lost")
                 }
             }
         }
@@ -109,31 +114,31 @@
         override suspend fun instanceTypes(): List<InstanceType> =
             call {
                 if (misbehaviour == CloudMisbehaviour.REJECTS_INSTANCE_TYPES) reject()
-                if (misbehaviour == CloudMisbehaviour.SENDS_UNREADABLE_INSTANCE_TYPES) unreadable()
+                if (misbehaviour == CloudMisbehaviour.SENDS_UNREADABLE_INSTANCE_TYPES) failToParse()
                 simulation.size.instanceTypes
             }
 
         private fun reject(): Nothing = throw RequestRejectedException("cloud answered 400 {error=malformed}")
 
-        private fun unreadable(): Nothing = throw MalformedMessageException("document is not a map")
+        private fun failToParse(): Nothing = throw MalformedMessageException("document is not a map")
 
         override suspend fun provision(
             name: String,
             offer: Offer,
             number: Int,
         ): List<MachineName>? {
-            if (isProvisioningSlow) delay(random.nextLong(SLOW_MILLIS, SLOW_MILLIS + 1200))
+            if (isProvisioningSlow) delay(random.nextLong(MIN_SLOW_MILLIS, MIN_SLOW_MILLIS + 1200))
             return call {
                 provisioningRequests++
-                refuseBeyondLimits(ProtocolLimits.provisioningViolation(offer, number, simulation.size.instanceTypes))
-                if (rejects(name, offer, number)) reject()
-                if (misbehaviour == CloudMisbehaviour.NEVER_ANSWERS_FIRST_NAME && isFirst(name)) {
-                    throw NoResponseException("no response")
+                rejectBeyondLimits(ProtocolLimits.provisioningViolation(offer, number, simulation.size.instanceTypes))
+                if (isRejected(name, offer, number)) reject()
+                if (misbehaviour == CloudMisbehaviour.NEVER_ANSWERS_FIRST_NAME && isFirstRequest(name)) {
+                    throw NoResponseException("no response from the cloud")
                 }
-                if (wanted.getOrPut(name) { offer to number } != offer to number) {
-                    simulation.violated("the name $name stands for two requests, one for $number of $offer")
+                if (requestsByName.getOrPut(name) { offer to number } != offer to number) {
+                    simulation.violated("the request name $name was used again, for $number machines of $offer")
                 }
-                val machines = provisioned[name] ?: provisionNew(name, offer, number)
+                val machines = machinesByRequest[name] ?: provisionNew(name, offer, number)
                 if (misbehaviour == CloudMisbehaviour.SENDS_UNREADABLE_RESPONSES) {
                     throw NoResponseException("cloud: hosts is not a list")
                 }
@@ -142,7 +147,7 @@
             }
         }
 
-        private fun rejects(
+        private fun isRejected(
             name: String,
             offer: Offer,
             number: Int,
@@ -155,19 +160,19 @@
                             .last()
                             .label
                 CloudMisbehaviour.REJECTS_ZONE -> offer.zone == "east"
-                CloudMisbehaviour.REJECTS_FIRST_NAME -> isFirst(name)
+                CloudMisbehaviour.REJECTS_FIRST_NAME -> isFirstRequest(name)
                 CloudMisbehaviour.REJECTS_MORE_THAN_TWO -> number > 2
                 else -> false
             }
 
-        private fun isFirst(name: String): Boolean {
-            if (firstRequest == null) firstRequest = name
-            return name == firstRequest
+        private fun isFirstRequest(name: String): Boolean {
+            if (firstRequestName == null) firstRequestName = name
+            return name == firstRequestName
         }
 
-        private fun refuseBeyondLimits(violation: String?) {
+        private fun rejectBeyondLimits(violation: String?) {
             if (violation == null) return
-            simulation.violated("the cloud refused $violation")
+            simulation.violated("the cloud rejected $violation")
             reject()
         }
 
@@ -176,37 +181,37 @@
             offer: Offer,
             number: Int,
         ): List<MachineName>? {
-            val capacity = simulation.size.machinesPerOffer - workers.countOf(offer)
+            val capacity = simulation.size.machinesPerOffer - workers.countMachines(offer)
             val isPartial = faultRates.partial > 0 && random.nextDouble() < faultRates.partial
-            val wanted =
+            val target =
                 when {
                     misbehaviour == CloudMisbehaviour.PROVISIONS_MORE -> number + 1
                     isPartial -> random.nextInt(number)
                     else -> number
                 }
-            val machines = List(minOf(wanted, capacity).coerceAtLeast(0)) { workers.boot(offer) }
-            return machines.ifEmpty { null }?.also { provisioned[name] = it }
+            val machines = List(minOf(target, capacity).coerceAtLeast(0)) { workers.boot(offer) }
+            return machines.ifEmpty { null }?.also { machinesByRequest[name] = it }
         }
 
         override suspend fun terminate(machineNames: List<MachineName>) =
             call {
-                refuseBeyondLimits(ProtocolLimits.terminationViolation(machineNames))
+                rejectBeyondLimits(ProtocolLimits.terminationViolation(machineNames))
                 if (misbehaviour == CloudMisbehaviour.REJECTS_ONE_TERMINATION) {
-                    if (firstTerminated == null) firstTerminated = machineNames.first()
-                    if (firstTerminated in machineNames) reject()
+                    if (firstTerminatedMachine == null) firstTerminatedMachine = machineNames.first()
+                    if (firstTerminatedMachine in machineNames) reject()
                 }
                 workers.terminate(machineNames)
             }
 
-        /** The list is up to twice the lag old, so it may be older than the one before. */
+        /** The list is up to twice the lag old, so it may describe an earlier time than the list returned before it. */
         override suspend fun listMachines(): List<ListedMachine> =
             call {
                 if (misbehaviour == CloudMisbehaviour.REJECTS_LIST) reject()
-                if (misbehaviour == CloudMisbehaviour.SENDS_UNREADABLE_LIST) unreadable()
+                if (misbehaviour == CloudMisbehaviour.SENDS_UNREADABLE_LIST) failToParse()
                 val asOf =
                     simulation.now() -
                         simulation.settings[member].listLag * simulation.listRandom.nextDouble(0.0, 2.0)
-                workers.existingAt(asOf).map {
+                workers.machinesAt(asOf).map {
                     ListedMachine(
                         MachineName(it.name),
                         it.offer.type,
@@ -222,10 +227,10 @@
     private companion object {
         const val RESPONSE_TIMEOUT_MILLIS = 5000L
 
-        /** The share of the cloud's rate that a controller keeps to. */
-        const val CLOUD_SHARE = 0.8
+        /** The share of the cloud's rate limit that a controller uses. */
+        const val CLOUD_RATE_SHARE = 0.8
 
-        /** With what else a call takes, less than the time-out. */
-        const val SLOW_MILLIS = 3500L
+        /** The least delay of a slow response. With the rest of the call, the delay stays below the time-out. */
+        const val MIN_SLOW_MILLIS = 3500L
     }
 }
--- a/src/test/kotlin/umberslip/sim/SimulatedCluster.kt
+++ b/src/test/kotlin/umberslip/sim/SimulatedCluster.kt
@@ -15,8 +15,8 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Several actual controllers with a key-value store, a cloud, workers and users in virtual time. The protocol's rules
- * are checked all the time against what really is on the machines; [violations] has what was found.
+ * A cluster in virtual time: the production controllers with a simulated key-value store, cloud, workers and users. The
+ * protocol's rules are checked continuously against the actual state of the machines; [violations] lists the findings.
  */
 @OptIn(ExperimentalCoroutinesApi::class)
 class SimulatedCluster(
@@ -41,37 +41,37 @@
         SimulatedControllers(simulation, tuning, storeLinks::get, cloud::linkOf)
     private val users = SimulatedUsers(simulation, controllers, rules)
 
-    /** Since when there are no faults any more; from a while later on nothing may be left waiting. */
+    /** When [endFaults] was called; null before. */
     private var faultsEndedAt: Duration? = null
 
-    /** That share of the jobs that end is cancelled at the moment of the end. */
+    /** The share of jobs that are cancelled at the moment when their last task completes. */
     var cancelAtEnd = 0.0
 
-    /** While set, the cloud refuses every request. */
+    /** While set, the cloud refuses every request as unavailable. */
     var isCloudUnavailable by cloud::isUnavailable
 
-    /** What the cloud does against its protocol; null while it keeps to it. */
+    /** How the cloud violates its protocol; null while it follows it. */
     var cloudMisbehaviour by cloud::misbehaviour
 
-    /** The shares of requests to the cloud that go wrong all the time. */
+    /** The shares of requests to the cloud that fail throughout the run, in addition to outages. */
     var cloudFaultRates by cloud::faultRates
 
-    /** Provisioning requests that reached the cloud. */
+    /** The number of provisioning requests that reached the cloud, including those that it rejected. */
     val provisioningRequests: Int get() = cloud.provisioningRequests
 
-    /** While set, responses to provisioning requests take 3.5 s to 5 s. */
+    /** While set, responses to provisioning requests take 3.5 s to 5 s, just less than the time-out. */
     var provisioningSlow by cloud::isProvisioningSlow
 
-    /** That share of transactions gets no response and is carried out 2 to 12 s later, after newer ones. */
+    /** The share of transactions that get no response and are carried out 2 s to 12 s later, after newer ones. */
     var lateWrites by storeFaults::lateWrites
 
-    /** From then on the key-value store keeps to its lower limits, without notice. */
+    /** Once set, the key-value store enforces its announced lower write rate, without notice. */
     var storeLimitsLowered by storeFaults::limitsLowered
 
     val violations: List<String> get() = simulation.violations
     val starts: Int get() = rules.starts
 
-    /** Heartbeats that were refused since a controller had too many at once. */
+    /** The number of heartbeats that a controller refused because it had too many at once. */
     val heartbeatsDropped: Int get() = workers.heartbeatsDropped
     val finishedJobs: Int get() = rules.finishedJobs
     val acceptedJobs: Int get() = rules.acceptedJobs
@@ -85,7 +85,7 @@
 
     // ---- controllers ----
 
-    /** Takes effect with the next start of the controller. */
+    /** Changes the settings of a controller, with effect from its next start. */
     fun configure(
         controller: Int,
         settingsJson: (String) -> String,
@@ -99,88 +99,93 @@
 
     fun freeze(
         controller: Int,
-        time: Duration,
-    ) = controllers.freeze(controller, time)
+        duration: Duration,
+    ) = controllers.freeze(controller, duration)
 
-    /** The controller that the leader's record names. */
+    /** Returns the controller that the leader's record names, or null if there is no such record. */
     fun leader(): Int? = store.get("u/owner")?.let { members.indexOf(Fields.of(it.data).text("member")) }
 
-    /** What the leader's metrics say. */
+    /** Returns the metrics of the leader, or null if there is no leader or it is not running. */
     fun leaderMetrics(): MeterRegistry? = leader()?.takeIf { it >= 0 }?.let(controllers::metricsOf)
 
     // ---- the network ----
 
-    fun cutZones(time: Duration) {
-        controllers.zonesCutUntil = now() + time
+    fun cutZones(duration: Duration) {
+        controllers.zonesCutUntil = now() + duration
     }
 
-    /** The zone's workers do not reach the controller. */
+    /** Cuts the zone's workers off from the controller. */
     fun cut(
         controller: Int,
         zone: String,
-        time: Duration,
-    ) = workers.cut(controller, zone, time)
+        duration: Duration,
+    ) = workers.cut(controller, zone, duration)
 
     fun cutFromStore(
         controller: Int,
-        time: Duration,
+        duration: Duration,
     ) {
-        storeLinks[controller].cutUntil = now() + time
+        storeLinks[controller].cutUntil = now() + duration
     }
 
-    /** Its renewals and writes come through, its reads do not. */
+    /** Refuses the controller's reads of the key-value store; its lease renewals and writes still get through. */
     fun cutFromStoreReads(
         controller: Int,
-        time: Duration,
+        duration: Duration,
     ) {
-        storeLinks[controller].readsCutUntil = now() + time
+        storeLinks[controller].readsCutUntil = now() + duration
     }
 
-    /** Left with its workers and users alone. */
+    /**
+     * Cuts the controller off from the key-value store and the other controllers. Workers and users still reach it.
+     */
     fun isolate(
         controller: Int,
-        time: Duration,
+        duration: Duration,
     ) {
-        cutFromStore(controller, time)
-        controllers.cutFromPeers(controller, time)
+        cutFromStore(controller, duration)
+        controllers.cutFromPeers(controller, duration)
     }
 
     // ---- machines ----
 
-    fun upMachines(): List<SimulatedMachine> = workers.up()
+    fun upMachines(): List<SimulatedMachine> = workers.findUp()
 
-    /** All machines that were ever provisioned. */
-    fun allMachines(): Collection<SimulatedMachine> = workers.all()
+    /** Returns all machines that were ever provisioned, including terminated ones. */
+    fun allMachines(): Collection<SimulatedMachine> = workers.allMachines()
 
-    /** How many more machines of an offer the cloud has. */
-    fun capacityLeft(offer: Offer): Int = simulation.size.machinesPerOffer - workers.countOf(offer)
+    /** Returns how many more machines of the offer the cloud can provision. */
+    fun capacityLeft(offer: Offer): Int = simulation.size.machinesPerOffer - workers.countMachines(offer)
 
     fun kill(machine: SimulatedMachine) = workers.terminate(machine)
 
     fun hang(
         machine: SimulatedMachine,
-        time: Duration,
+        duration: Duration,
     ) {
-        machine.hungUntil = now() + time
+        machine.hungUntil = now() + duration
     }
 
-    /** Its heartbeats arrive, their responses do not. */
+    /** Loses the responses to the machine's heartbeats; the heartbeats themselves still arrive. */
     fun loseResponses(
         machine: SimulatedMachine,
-        time: Duration,
+        duration: Duration,
     ) {
-        machine.responsesLostUntil = now() + time
+        machine.responsesLostUntil = now() + duration
     }
 
-    /** It reaches no controller. */
+    /** Loses the machine's heartbeats, so that it reaches no controller. */
     fun loseHeartbeats(
         machine: SimulatedMachine,
-        time: Duration,
+        duration: Duration,
     ) {
-        machine.heartbeatsLostUntil = now() + time
+        machine.heartbeatsLostUntil = now() + duration
     }
 
-    /** Ends and comes back at once, with no tasks, and perhaps with no memory of its epochs. */
+    /**
+     * Reboots the machine, which takes no time and ends its tasks. If it [forgetsEpoch], it starts again with the first
+     * epoch and without its sequence number and fencing token; otherwise it begins the next epoch.
+     */
     fun reboot(
         machine: SimulatedMachine,
         forgetsEpoch: Boolean,
@@ -195,35 +200,38 @@
 
     fun cancel(id: String) = users.cancel(id)
 
-    /** Makes the job's description known to workers, for tests that submit it themselves. */
+    /** Registers the job's spec with the simulated workers, for tests that submit the job themselves. */
     fun upload(spec: JobSpec) = rules.add(spec)
 
-    /** Accepted jobs that have not ended, of those that nobody cancelled. */
+    /** Returns the accepted jobs that have not ended and for which no cancellation was requested. */
     fun openJobs(): List<String> = rules.openJobs()
 
-    /** Accepted jobs, not cancelled, of which some task neither runs nor has completed. */
+    /**
+     * Returns the accepted jobs whose dependencies are done and of which some task neither runs nor has completed. Jobs
+     * for which a cancellation was requested are left out.
+     */
     fun waitingJobs(): List<JobSpec> = rules.waitingJobs()
 
-    /** Accepted jobs that have tasks on machines, of those that nobody cancelled. */
+    /** Returns the accepted jobs that have running tasks and for which no cancellation was requested. */
     fun runningJobs(): List<String> = rules.runningJobs()
 
-    /** A request that is under way to a controller. */
+    /** Sends a request to a controller without waiting for the response. */
     fun send(
         controller: Int,
         method: String,
         path: String,
     ): CompletableDeferred<Response> = request(controller, method, path, null)
 
-    /** One request to a controller, and its answer. */
+    /** Sends a request to a controller, lets time pass until it is answered, and returns the response. */
     fun ask(
         controller: Int,
         method: String,
         path: String,
         body: Any?,
     ): Response {
-        val answer = request(controller, method, path, body)
-        while (!answer.isCompleted) simulation.scheduler.advanceTimeBy(10.milliseconds)
-        return answer.getCompleted()
+        val response = request(controller, method, path, body)
+        while (!response.isCompleted) simulation.scheduler.advanceTimeBy(10.milliseconds)
+        return response.getCompleted()
     }
 
     private fun request(
@@ -235,7 +243,10 @@
 
     // ---- time ----
 
-    /** All faults of the store and the cloud are over. */
+    /**
+     * Ends the outages of the key-value store and the cloud, and the late writes. After [RECOVERY_TIME], the rule that
+     * jobs do not wait beside free resources is checked, too.
+     */
     fun endFaults() {
         store.out = false
         isCloudUnavailable = false
@@ -243,12 +254,12 @@
         faultsEndedAt = now()
     }
 
-    fun run(time: Duration) {
-        simulation.scheduler.advanceTimeBy(time)
-        // What broke before may take its leases and its terminations to recover.
+    fun run(duration: Duration) {
+        simulation.scheduler.advanceTimeBy(duration)
+        // Recovery from the faults may have to wait for leases to expire and for machines to be terminated.
         val endedAt = faultsEndedAt
-        if (endedAt != null && now() - endedAt >= RECOVERY_TIME) rules.checkWaiting(workers.all())
-        if (store.out || members.indices.none(::isServing)) users.servedSince = now()
+        if (endedAt != null && now() - endedAt >= RECOVERY_TIME) rules.checkWaiting(workers.allMachines())
+        if (store.out || members.indices.none(::isServing)) users.serviceAvailableSince = now()
     }
 
     private fun isServing(controller: Int): Boolean =
@@ -262,7 +273,7 @@
         simulation.scheduler.runCurrent()
     }
 
-    /** For a failed run's message: the jobs that have not ended, and the machines. */
+    /** Describes the jobs that have not ended and the machines that are up, for the message of a failed run. */
     fun describe(): String =
         rules.describeOpenJobs() + "\n" +
             upMachines().joinToString("\n") { machine ->
--- a/src/test/kotlin/umberslip/sim/SimulatedControllers.kt
+++ b/src/test/kotlin/umberslip/sim/SimulatedControllers.kt
@@ -22,7 +22,7 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.milliseconds
 
-/** The actual controllers, started, ended and frozen in virtual time, and the network between them. */
+/** The production controllers, run, stopped and frozen in virtual time, and the network between them. */
 class SimulatedControllers(
     private val simulation: Simulation,
     private val tuning: (Int) -> Tuning,
@@ -32,15 +32,15 @@
     private val members = simulation.members
     private val controllers = arrayOfNulls<Controller>(members.size)
     private val registries = arrayOfNulls<MeterRegistry>(members.size)
-    private val jobs = arrayOfNulls<Job>(members.size)
+    private val coroutineJobs = arrayOfNulls<Job>(members.size)
     private val dispatchers = arrayOfNulls<FreezableDispatcher>(members.size)
     private val frozenSince = arrayOfNulls<Duration>(members.size)
     private val frozenUntil = Array(members.size) { Duration.ZERO }
 
-    /** Until when a controller is cut from the others. */
+    /** The time until which each controller is cut off from the other controllers. */
     private val cutFromPeersUntil = Array(members.size) { Duration.ZERO }
 
-    /** Until when the zones are cut from one another. */
+    /** The time until which the zones cannot reach one another. */
     var zonesCutUntil = Duration.ZERO
 
     val running: List<Controller> get() = controllers.filterNotNull()
@@ -52,23 +52,23 @@
     fun metricsOf(member: Int): MeterRegistry? = if (controllers[member] == null) null else registries[member]
 
     fun start(member: Int) {
-        val job = SupervisorJob()
-        jobs[member] = job
-        val drift = 1.0 + (member - 1) * CLOCK_DRIFT
-        val freezable = FreezableDispatcher(simulation.dispatcher)
-        dispatchers[member] = freezable
+        val coroutineJob = SupervisorJob()
+        coroutineJobs[member] = coroutineJob
+        val clockRate = 1.0 + (member - 1) * CLOCK_DRIFT
+        val dispatcher = FreezableDispatcher(simulation.dispatcher)
+        dispatchers[member] = dispatcher
         val controller =
             Controller(
-                CoroutineScope(freezable + job),
+                CoroutineScope(dispatcher + coroutineJob),
                 simulation.settings[member],
                 tuning(member),
                 storeOf(member),
                 cloudOf(member),
-                Clock { simulation.now() * drift },
+                Clock { simulation.now() * clockRate },
                 { Instant.ofEpochMilli(EPOCH_MILLIS + simulation.scheduler.currentTime) },
                 SimpleMeterRegistry().also { registries[member] = it },
-                { announce(member) },
-                { reaches(member, members.indexOf(it)) },
+                { notifyPeers(member) },
+                { canReach(member, members.indexOf(it)) },
                 { peerHealth(member) },
                 { "" },
             )
@@ -77,24 +77,24 @@
     }
 
     fun stop(member: Int) {
-        jobs[member]?.cancel()
+        coroutineJobs[member]?.cancel()
         dispatchers[member]?.thaw()
         frozenUntil[member] = Duration.ZERO
         controllers[member] = null
     }
 
-    /** A controller does nothing for a while and then continues from where it was; its clocks run on meanwhile. */
+    /** Suspends a controller for a while. It then continues where it was. Its clocks keep running meanwhile. */
     fun freeze(
         member: Int,
-        time: Duration,
+        duration: Duration,
     ) {
         val dispatcher = dispatchers[member] ?: return
         if (controllers[member] == null || isFrozen(member)) return
         dispatcher.freeze()
         frozenSince[member] = simulation.now()
-        frozenUntil[member] = simulation.now() + time
+        frozenUntil[member] = simulation.now() + duration
         simulation.scope.launch {
-            delay(time.inWholeMilliseconds)
+            delay(duration.inWholeMilliseconds)
             dispatcher.thaw()
         }
     }
@@ -103,23 +103,23 @@
 
     fun cutFromPeers(
         member: Int,
-        time: Duration,
+        duration: Duration,
     ) {
-        cutFromPeersUntil[member] = simulation.now() + time
+        cutFromPeersUntil[member] = simulation.now() + duration
     }
 
-    /** Whether it is frozen for longer than others wait for the answer to a ping. */
+    /** Returns whether the controller has been frozen for longer than its peers wait for the response to a ping. */
     private fun isUnresponsive(member: Int): Boolean {
         val since = frozenSince[member] ?: return false
         return isFrozen(member) && simulation.now() - since > PEER_TIMEOUT
     }
 
-    private fun announce(from: Int) {
-        members.indices.forEach { if (it != from && reaches(from, it)) controllers[it]?.refreshRecords() }
+    private fun notifyPeers(from: Int) {
+        members.indices.forEach { if (it != from && canReach(from, it)) controllers[it]?.refreshRecords() }
     }
 
     private fun peerHealth(from: Int): PeerHealth {
-        val reachable = members.indices.filter { it != from && reaches(from, it) }
+        val reachable = members.indices.filter { it != from && canReach(from, it) }
         return if (reachable.any { controllers[it]?.served() == true }) {
             PeerHealth.SERVED
         } else if (reachable.isEmpty()) {
@@ -129,38 +129,38 @@
         }
     }
 
-    private fun reaches(
+    private fun canReach(
         from: Int,
         to: Int,
     ): Boolean {
         val now = simulation.now()
-        val zonesAreCut = zonesCutUntil > now && simulation.settings[from].area != simulation.settings[to].area
-        val peersAreCut = maxOf(cutFromPeersUntil[from], cutFromPeersUntil[to]) > now
+        val areZonesCut = zonesCutUntil > now && simulation.settings[from].area != simulation.settings[to].area
+        val isCutFromPeers = maxOf(cutFromPeersUntil[from], cutFromPeersUntil[to]) > now
         return controllers[to] != null &&
             !isUnresponsive(to) &&
-            !peersAreCut &&
-            !zonesAreCut &&
+            !isCutFromPeers &&
+            !areZonesCut &&
             simulation.random.nextInt(PINGS_PER_LOSS) > 0
     }
 
-    /** Hands a request to a controller's HTTP interface; one that is frozen reads it once it continues. */
+    /** Hands a request to a controller's HTTP interface. A frozen controller handles it once it continues. */
     fun request(
         controller: Controller,
         method: String,
         path: String,
         body: Any?,
     ): CompletableDeferred<Response> {
-        val answer = CompletableDeferred<Response>()
+        val response = CompletableDeferred<Response>()
         val member = controllers.indexOf(controller)
         if (member >= 0 && isFrozen(member)) {
             simulation.scope.launch {
                 delay((frozenUntil[member] - simulation.now()).inWholeMilliseconds + 1)
-                if (controllers[member] === controller) handle(controller, method, path, body, answer)
+                if (controllers[member] === controller) handle(controller, method, path, body, response)
             }
         } else {
-            handle(controller, method, path, body, answer)
+            handle(controller, method, path, body, response)
         }
-        return answer
+        return response
     }
 
     private fun handle(
@@ -168,26 +168,26 @@
         method: String,
         path: String,
         body: Any?,
-        answer: CompletableDeferred<Response>,
+        response: CompletableDeferred<Response>,
     ) {
         try {
             val bytes = if (body == null) ByteArray(0) else Documents.writeCbor(body)
-            controller.handle(Request(method, path, bytes)) { answer.complete(it) }
+            controller.handle(Request(method, path, bytes)) { response.complete(it) }
         } catch (e: MalformedMessageException) {
-            // As the HTTP server does.
-            answer.complete(Response.error(400, e.message ?: "malformed"))
+            // The HTTP server answers malformed requests in the same way.
+            response.complete(Response.error(400, e.message ?: "malformed"))
         }
     }
 
     private companion object {
-        /** By how much the steady clocks of neighbouring members drift apart. */
+        /** The difference between the rates of the monotonic clocks of members with consecutive numbers. */
         const val CLOCK_DRIFT = 0.0005
         const val EPOCH_MILLIS = 1_000_000L
 
-        /** Controllers that answer no ping for so long count as not reached. */
+        /** A controller that has been frozen for longer than this counts as unreachable, since it answers no ping. */
         val PEER_TIMEOUT = 1500.milliseconds
 
-        /** One question in so many whether a peer is reachable is answered wrongly. */
+        /** One ping in this many is lost, so that a reachable peer counts as unreachable. */
         const val PINGS_PER_LOSS = 20
     }
 }
--- a/src/test/kotlin/umberslip/sim/SimulatedMachine.kt
+++ b/src/test/kotlin/umberslip/sim/SimulatedMachine.kt
@@ -5,7 +5,7 @@
 import umberslip.core.TaskId
 import kotlin.time.Duration
 
-/** The states of a task that a simulated worker reports, as the protocol names them. */
+/** The state of a task on a simulated machine, with its name in the worker protocol. */
 enum class SimulatedTaskState(
     val wireName: String,
 ) {
@@ -14,54 +14,57 @@
     EXITED("ended"),
 }
 
-/** A task on a machine, as the machine sees it. */
+/** An attempt of a task on a simulated machine. */
 class SimulatedTask(
     val id: TaskId,
     val attempt: Long,
     val spec: JobSpec,
-    /** When its image is there. */
+    /** When its image has been fetched. */
     val imageReadyAt: Duration,
     /** When it completes, unless it is stopped. */
     val completesAt: Duration,
 ) {
     var state = SimulatedTaskState.FETCHING
 
-    /** Why it exited, as the protocol names it. */
+    /** Why the task exited, in the terms of the worker protocol; null before. */
     var cause: String? = null
 
     val isRunning: Boolean get() = state == SimulatedTaskState.RUNNING
     val hasExited: Boolean get() = state == SimulatedTaskState.EXITED
 }
 
-/** A machine with its worker. */
+/** A simulated machine and the state of its worker. */
 class SimulatedMachine(
     val name: String,
     val offer: Offer,
     val provisionedAt: Duration,
-    /** When it has booted and its worker begins to send heartbeats. */
+    /** When the machine has booted and its worker begins to send heartbeats. */
     val upAt: Duration,
-    /** It fails every task. */
+    /** Whether every task fails on this machine. */
     val isFaulty: Boolean,
 ) {
     var epoch = 1L
     var sequenceNumber = 0L
     var fencingToken = 0L
 
-    /** When the last heartbeat that was answered was sent. */
+    /**
+     * When the worker's lease was last renewed, which is when it sent the latest heartbeat that renewed it. Also set
+     * when the lease expires or the machine reboots.
+     */
     var leaseRenewedAt = upAt
 
-    /** The member that it sends its heartbeats to. */
+    /** The controller that the worker sends its heartbeats to. */
     var target = 0
     var isTerminated = false
 
-    /** The cloud's list shows it until then, as of the time that the list describes. */
+    /** When the machine was terminated. The cloud's lists that describe an earlier time still include the machine. */
     var terminatedAt = Duration.INFINITE
     var hungUntil = Duration.ZERO
 
-    /** Its heartbeats arrive until then, but no response and no command reaches it. */
+    /** The time until which heartbeats arrive, but no response and hence no command reaches the machine. */
     var responsesLostUntil = Duration.ZERO
 
-    /** It reaches no controller until then. */
+    /** The time until which the machine's heartbeats reach no controller. */
     var heartbeatsLostUntil = Duration.ZERO
     val tasks = LinkedHashMap<TaskId, SimulatedTask>()
 }
--- a/src/test/kotlin/umberslip/sim/SimulatedStoreLink.kt
+++ b/src/test/kotlin/umberslip/sim/SimulatedStoreLink.kt
@@ -14,16 +14,19 @@
 import umberslip.store.Write
 import kotlin.time.Duration
 
-/** The faults of the way to the key-value store that tests switch on for all controllers. */
+/** The faults of the key-value store that tests switch on for all controllers. */
 class StoreFaults {
-    /** That share of transactions gets no response and is carried out 2 to 12 s later, after newer ones. */
+    /** The share of transactions that get no response and are carried out 2 s to 12 s later, after newer ones. */
     var lateWrites = 0.0
 
-    /** From then on the store keeps to its lower limits, without notice. */
+    /** Once set, the key-value store enforces its announced lower write rate, without notice. */
     var limitsLowered = false
 }
 
-/** A controller's way to the key-value store: requests and responses are lost, or carried out late. */
+/**
+ * A controller's connection to the key-value store. Requests and responses may be lost, and requests may be carried out
+ * late.
+ */
 class SimulatedStoreLink(
     private val member: Int,
     private val simulation: Simulation,
@@ -32,13 +35,13 @@
     private val writeBudget: WriteBudget,
     private val leader: () -> Int?,
 ) : KeyValueStore {
-    /** Until when this controller does not get through. */
+    /** The time until which this controller cannot reach the key-value store. */
     var cutUntil = Duration.ZERO
 
-    /** Until when reads of this controller are refused, while its renewals and writes come through. */
+    /** The time until which this controller's reads are refused; its lease renewals and writes still get through. */
     var readsCutUntil = Duration.ZERO
 
-    /** How many of its writes as the leader were answered. */
+    /** The number of transactions of this controller that count as [isLeaderWrite] and were answered as applied. */
     private var leaderWrites = 0
     private val random = simulation.random
 
@@ -47,28 +50,31 @@
         execute: () -> T,
     ): T {
         delay(random.nextLong(1, 12))
-        if (isUnreachable()) throw ServiceUnavailableException("out")
-        val luck = random.nextDouble()
-        if (luck < simulation.faultRates.lossy) {
+        if (isUnreachable()) throw ServiceUnavailableException("key-value store unreachable")
+        val draw = random.nextDouble()
+        if (draw < simulation.faultRates.lossy) {
             delay(RESPONSE_TIMEOUT_MILLIS)
-            throw NoResponseException("lost")
+            throw NoResponseException("request to the key-value store lost")
         }
-        if (mayBeLate && luck < simulation.faultRates.lossy + simulation.faultRates.late) {
+        if (mayBeLate && draw < simulation.faultRates.lossy + simulation.faultRates.late) {
             executeLate({ random.nextLong(500, 40_000) }) { execute() }
         }
         store.expire()
-        val answer = execute()
-        if (luck > 1 - simulation.faultRates.lossy) {
+        val response = execute()
+        if (draw > 1 - simulation.faultRates.lossy) {
             delay(RESPONSE_TIMEOUT_MILLIS)
-            throw NoResponseException("answer lost")
+            throw NoResponseException("response of the key-value store lost")
         }
         delay(random.nextLong(1, 6))
-        return answer
+        return response
     }
 
     private fun isUnreachable(): Boolean = store.out || cutUntil > simulation.now()
 
-    /** The caller gets no response, and the request is carried out long after. */
+    /**
+     * Schedules the request to be carried out [afterMillis] from now, unless the store is unavailable then. The call
+     * itself fails without a response.
+     */
     private suspend fun executeLate(
         afterMillis: () -> Long,
         execute: () -> Unit,
@@ -79,11 +85,11 @@
             if (!store.out) execute()
         }
         delay(RESPONSE_TIMEOUT_MILLIS)
-        throw NoResponseException("late")
+        throw NoResponseException("no response from the key-value store; the request is carried out later")
     }
 
     private suspend fun <T> read(execute: () -> T): T {
-        if (readsCutUntil > simulation.now()) throw ServiceUnavailableException("reads are refused")
+        if (readsCutUntil > simulation.now()) throw ServiceUnavailableException("read refused by the key-value store")
         return call(false, execute)
     }
 
@@ -108,49 +114,60 @@
         preconditions: List<Precondition>,
         writes: List<Write>,
     ): TransactionResult {
-        // Sizes keep within the smaller of the limits now and later, from the start.
+        // Controllers must keep to the lower of the present and the announced size limits from the start.
         ProtocolLimits.transactionViolation(preconditions, writes, simulation.settings[member].storeLimits)?.let {
             simulation.violated("the key-value store refused $it: ${writes.map { write -> write.key }}")
             return TransactionResult.Rejected(it)
         }
-        if (faults.limitsLowered && !writeBudget.take(member, writes.size)) throw RateLimitedException("429")
+        if (faults.limitsLowered && !writeBudget.take(member, writes.size)) throw RateLimitedException("answered 429")
         if (faults.lateWrites > 0 && !isUnreachable() && random.nextDouble() < faults.lateWrites) {
-            val before = leaderWrites
-            executeLate({ random.nextLong(2000, 12_000) }) { applyLate(preconditions, writes, before) }
+            val leaderWritesBefore = leaderWrites
+            executeLate({ random.nextLong(2000, 12_000) }) { applyLate(preconditions, writes, leaderWritesBefore) }
         }
         return call(true) { apply(preconditions, writes) }.also {
             if (it is TransactionResult.Applied && isLeaderWrite(preconditions, writes)) leaderWrites++
         }
     }
 
-    /** Whatever was decided since then did not know of it. The record of booting machines is a hint. */
+    /**
+     * Applies a transaction late. If a newer leader write of this controller was applied in the meantime, the late one
+     * must fail its preconditions: the decisions made since do not take it into account. Writes of the record of
+     * booting machines are exempt, since that record is only a hint.
+     */
     private fun applyLate(
         preconditions: List<Precondition>,
         writes: List<Write>,
         leaderWritesBefore: Int,
     ) {
         val result = apply(preconditions, writes)
-        val isLeaders = result is TransactionResult.Applied && isLeaderWrite(preconditions, writes)
-        if (isLeaders && leaderWrites > leaderWritesBefore) {
-            simulation.violated("a late write of c-$member came through after newer ones: ${writes.map { it.key }}")
+        val isLateLeaderWrite = result is TransactionResult.Applied && isLeaderWrite(preconditions, writes)
+        if (isLateLeaderWrite && leaderWrites > leaderWritesBefore) {
+            simulation.violated("a late write of c-$member was applied after newer ones: ${writes.map { it.key }}")
         }
     }
 
-    /** What only a leader writes comes through only while the record names it. */
+    /**
+     * Applies a transaction. One that writes to [LEADER_ONLY_KEYS] may only succeed while the leader's record names
+     * this controller.
+     */
     private fun apply(
         preconditions: List<Precondition>,
         writes: List<Write>,
     ): TransactionResult {
         val leader = leader()
         val result = store.compareAndSwap(preconditions, writes)
-        val leadersOnly = writes.filter { write -> LEADERS_KEYS.any { write.key.startsWith(it) } }
-        if (result is TransactionResult.Applied && leadersOnly.isNotEmpty() && leader != member) {
-            val named = leader?.let { "c-$it" } ?: "nobody"
-            simulation.violated("c-$member writes ${leadersOnly.map { it.key }} while $named leads")
+        val leaderOnlyWrites = writes.filter { write -> LEADER_ONLY_KEYS.any { write.key.startsWith(it) } }
+        if (result is TransactionResult.Applied && leaderOnlyWrites.isNotEmpty() && leader != member) {
+            val leaderName = leader?.let { "c-$it" } ?: "nobody"
+            simulation.violated("c-$member writes ${leaderOnlyWrites.map { it.key }} while $leaderName leads")
         }
         return result
     }
 
+    /**
+     * Returns whether the transaction depends on the version of the leader's record and does not write the record of
+     * booting machines.
+     */
     private fun isLeaderWrite(
         preconditions: List<Precondition>,
         writes: List<Write>,
@@ -170,28 +187,31 @@
         const val BOOTING_MACHINES_KEY = "u/fleet"
 
         /** The keys that only the leader writes. */
-        val LEADERS_KEYS = listOf("u/log/", "u/run/", "u/condemned", BOOTING_MACHINES_KEY)
+        val LEADER_ONLY_KEYS = listOf("u/log/", "u/run/", "u/condemned", BOOTING_MACHINES_KEY)
     }
 }
 
-/** The writes that the store's lowered rate limit allows all controllers together, with one second's worth of burst. */
+/**
+ * A token bucket for the writes that the key-value store's lowered rate limit allows to all controllers together, with
+ * bursts of up to one second's worth.
+ */
 class WriteBudget(
     private val simulation: Simulation,
 ) {
-    private var available = 0.0
-    private var refilledAt = Duration.ZERO
+    private var tokens = 0.0
+    private var lastRefill = Duration.ZERO
 
-    /** False where the limit is exceeded. */
+    /** Takes tokens for the [writes]. Returns false, and takes none, if they exceed the limit. */
     fun take(
         member: Int,
         writes: Int,
     ): Boolean {
         val rate = simulation.settings[member].storeLimits.nextWriteRps
-        val passedSeconds = (simulation.now() - refilledAt).inWholeMilliseconds / MILLIS_PER_SECOND
-        available = minOf(rate, available + passedSeconds * rate)
-        refilledAt = simulation.now()
-        if (writes > available) return false
-        available -= writes
+        val elapsedSeconds = (simulation.now() - lastRefill).inWholeMilliseconds / MILLIS_PER_SECOND
+        tokens = minOf(rate, tokens + elapsedSeconds * rate)
+        lastRefill = simulation.now()
+        if (writes > tokens) return false
+        tokens -= writes
         return true
     }
 
--- a/src/test/kotlin/umberslip/sim/SimulatedUsers.kt
+++ b/src/test/kotlin/umberslip/sim/SimulatedUsers.kt
@@ -10,7 +10,10 @@
 import kotlin.time.Duration
 import kotlin.time.Duration.Companion.seconds
 
-/** Users by their protocol: they submit until they are accepted, poll, repeat, cancel, and never forget an answer. */
+/**
+ * Users who follow the job API's protocol: they submit jobs until these are accepted, poll them, repeat submissions and
+ * cancel jobs. [rules] checks the answers that they get, also against earlier ones.
+ */
 class SimulatedUsers(
     private val simulation: Simulation,
     private val controllers: SimulatedControllers,
@@ -18,10 +21,13 @@
 ) {
     private val random = simulation.random
 
-    /** Since when some controller has been up and served by the key-value store all the time. */
-    var servedSince = Duration.ZERO
+    /** Since when there has always been a controller that runs and reaches the key-value store. */
+    var serviceAvailableSince = Duration.ZERO
 
-    /** Submits a job and polls it for ever, and perhaps cancels it [cancelAfter] its acceptance. */
+    /**
+     * Submits a job once those that it depends on are accepted, and polls it until the end of the simulation. If
+     * [cancelAfter] is given, the job is cancelled that long after its acceptance.
+     */
     fun submit(
         spec: JobSpec,
         cancelAfter: Duration?,
@@ -50,7 +56,7 @@
             val response = connection.request("POST", JOBS_PATH, spec.toMap())
             if (response != null && (response.status == 200 || response.status == 201)) break
             if (response != null && response.status in setOf(400, 422)) {
-                simulation.violated("forgotten: $id was answered ${response.status}")
+                simulation.violated("forgotten: the submission of $id was answered ${response.status}")
             }
             delay(RETRY_MILLIS)
         }
@@ -62,21 +68,21 @@
         spec: JobSpec,
     ) {
         val id = spec.id.value
-        var lastAnswer = simulation.now()
+        var lastAnsweredAt = simulation.now()
         while (true) {
             delay(random.nextLong(2000, 6000))
             val requestedAt = simulation.now()
             val response = connection.request("GET", "$JOBS_PATH/$id", null)
-            if (response?.status == 200) lastAnswer = simulation.now()
-            if (simulation.now() - maxOf(lastAnswer, servedSince) > KNOWN_WITHIN) {
-                simulation.violated("forgotten: no question about $id was answered since $lastAnswer")
+            if (response?.status == 200) lastAnsweredAt = simulation.now()
+            if (simulation.now() - maxOf(lastAnsweredAt, serviceAvailableSince) > MAX_UNANSWERED) {
+                simulation.violated("forgotten: no status request for $id was answered since $lastAnsweredAt")
             }
             if (response == null) continue
-            if (response.status == 404) simulation.violated("forgotten: $id")
+            if (response.status == 404) simulation.violated("forgotten: the status request for $id was answered 404")
             if (response.status == 200) rules.answered(id, statusOf(response), requestedAt)
-            // Retries may come at any time, also after the end.
+            // Users may repeat a submission at any time, even after the job has ended.
             if (random.nextInt(10) == 0) repeatSubmission(connection, spec)
-            if (random.nextInt(10) == 0) askForUnknown(connection, id)
+            if (random.nextInt(10) == 0) requestUnknownJob(connection, id)
         }
     }
 
@@ -88,19 +94,19 @@
         val response = connection.request("POST", JOBS_PATH, spec.toMap()) ?: return
         when (response.status) {
             200 -> rules.answered(spec.id.value, statusOf(response), requestedAt)
-            201 -> simulation.violated("went_back: ${spec.id.value} accepted again")
+            201 -> simulation.violated("went_back: ${spec.id.value} was accepted a second time")
         }
     }
 
-    private suspend fun askForUnknown(
+    private suspend fun requestUnknownJob(
         connection: Connection,
         id: String,
     ) {
         val response = connection.request("GET", "$JOBS_PATH/no-$id", null)
-        if (response?.status == 200) simulation.violated("invented: no-$id")
+        if (response?.status == 200) simulation.violated("invented: the status request for no-$id was answered 200")
     }
 
-    /** Requests the cancellation until it is answered that the job is cancelled or done. */
+    /** Requests the cancellation again and again until it is answered 200 with the job's status. */
     fun cancel(id: String) {
         if (!rules.cancellationRequested(id)) return
         simulation.scope.launch {
@@ -119,7 +125,10 @@
 
     private fun statusOf(response: Response): String = (response.body as Map<*, *>)["status"] as String
 
-    /** A user's connection: kept while it works, else led to a controller that says it is ready. */
+    /**
+     * A user's connection through the load balancer. It stays with its controller until a request fails or the response
+     * closes the connection; then the next request goes to a controller that reports itself ready.
+     */
     private inner class Connection {
         private var controller: Controller? = null
 
@@ -129,17 +138,17 @@
             body: Any?,
         ): Response? {
             delay(random.nextLong(1, 20))
-            val to = controller?.takeIf { it in controllers } ?: ready() ?: return null
+            val target = controller?.takeIf { it in controllers } ?: findReady() ?: return null
             val response =
-                withTimeoutOrNull(RESPONSE_TIMEOUT_MILLIS) { controllers.request(to, method, path, body).await() }
+                withTimeoutOrNull(RESPONSE_TIMEOUT_MILLIS) { controllers.request(target, method, path, body).await() }
             response
                 ?.let { ProtocolLimits.responseViolation(it.body) }
-                ?.let { simulation.violated("$path answered with $it") }
-            controller = to.takeIf { response?.close == false }
+                ?.let { simulation.violated("$path was answered with $it") }
+            controller = target.takeIf { response?.close == false }
             return response
         }
 
-        private suspend fun ready(): Controller? =
+        private suspend fun findReady(): Controller? =
             controllers.running.shuffled(random).firstOrNull {
                 withTimeoutOrNull(PROBE_MILLIS) { controllers.request(it, "GET", "/ready", null).await() }?.status ==
                     200
@@ -154,7 +163,7 @@
         /** How long the load balancer waits for an answer to a probe. */
         const val PROBE_MILLIS = 1000L
 
-        /** A job about which no question is answered for so long counts as forgotten. */
-        val KNOWN_WITHIN = 75.seconds
+        /** A job for which no status request is answered for this long counts as forgotten. */
+        val MAX_UNANSWERED = 75.seconds
     }
 }
--- a/src/test/kotlin/umberslip/sim/SimulatedWorkers.kt
+++ b/src/test/kotlin/umberslip/sim/SimulatedWorkers.kt
@@ -15,7 +15,10 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** The workers by their protocol: heartbeats, leases, commands, tasks. What tasks do is checked by [rules]. */
+/**
+ * The machines and their workers, which follow the worker protocol: heartbeats, leases, commands and tasks. Task events
+ * are reported to [rules].
+ */
 class SimulatedWorkers(
     private val simulation: Simulation,
     private val rules: ProtocolRules,
@@ -28,10 +31,10 @@
             .workers.heartbeatInterval.inWholeMilliseconds
     private val machines = LinkedHashMap<String, SimulatedMachine>()
 
-    /** Until when a zone's workers do not reach a member, by member and zone. */
+    /** The time until which a zone's workers cannot reach a controller, by member and zone. */
     private val cutUntil = HashMap<Pair<Int, String>, Duration>()
 
-    /** Heartbeats that were refused since a controller had too many at once. */
+    /** The number of heartbeats that a controller refused because it had too many at once. */
     var heartbeatsDropped = 0
         private set
 
@@ -40,16 +43,17 @@
 
     // ---- machines ----
 
-    fun up(): List<SimulatedMachine> = machines.values.filter { !it.isTerminated && it.upAt <= simulation.now() }
+    /** Returns the machines that have booted and are not terminated. */
+    fun findUp(): List<SimulatedMachine> = machines.values.filter { !it.isTerminated && it.upAt <= simulation.now() }
 
-    /** All machines that were ever provisioned. */
-    fun all(): Collection<SimulatedMachine> = machines.values
+    /** Returns all machines that were ever provisioned, including terminated ones. */
+    fun allMachines(): Collection<SimulatedMachine> = machines.values
 
-    fun countOf(offer: Offer): Int = machines.values.count { !it.isTerminated && it.offer == offer }
+    fun countMachines(offer: Offer): Int = machines.values.count { !it.isTerminated && it.offer == offer }
 
-    fun existingAt(time: Duration): List<SimulatedMachine> {
-        val provisioned = machines.values.filter { it.provisionedAt <= time }
-        return provisioned.filter { time < it.terminatedAt }
+    fun machinesAt(instant: Duration): List<SimulatedMachine> {
+        val provisioned = machines.values.filter { it.provisionedAt <= instant }
+        return provisioned.filter { instant < it.terminatedAt }
     }
 
     fun boot(offer: Offer): MachineName {
@@ -63,7 +67,7 @@
                 isFaulty = random.nextInt(MACHINES_PER_FAULTY) == 0,
             )
         machines[machine.name] = machine
-        simulation.scope.launch { live(machine) }
+        simulation.scope.launch { runMachine(machine) }
         return MachineName(machine.name)
     }
 
@@ -75,7 +79,10 @@
         killTasks(machine)
     }
 
-    /** Ends and comes back at once, with no tasks, and perhaps with no memory of its epochs. */
+    /**
+     * Reboots the machine, which takes no time and ends its tasks. If it [forgetsEpoch], it starts again with the first
+     * epoch and without its sequence number and fencing token; otherwise it begins the next epoch.
+     */
     fun reboot(
         machine: SimulatedMachine,
         forgetsEpoch: Boolean,
@@ -90,19 +97,19 @@
     fun cut(
         member: Int,
         zone: String,
-        time: Duration,
+        duration: Duration,
     ) {
-        cutUntil[member to zone] = simulation.now() + time
+        cutUntil[member to zone] = simulation.now() + duration
     }
 
-    private suspend fun live(machine: SimulatedMachine) {
+    private suspend fun runMachine(machine: SimulatedMachine) {
         delay((machine.upAt - simulation.now()).inWholeMilliseconds)
         simulation.scope.launch {
             while (!machine.isTerminated) {
                 delay(TICK_MILLIS)
                 expireLease(machine)
                 if (!isHung(machine)) advanceTasks(machine)
-                rules.check(machine)
+                rules.checkCancelledTasks(machine)
             }
         }
         var wait = heartbeatInterval()
@@ -141,13 +148,13 @@
         task: SimulatedTask,
         cause: String,
     ) {
-        rules.left(machine, task)
+        rules.stopped(machine, task)
         task.state = SimulatedTaskState.EXITED
         task.cause = cause
     }
 
     private fun killTasks(machine: SimulatedMachine) {
-        machine.tasks.values.forEach { rules.left(machine, it) }
+        machine.tasks.values.forEach { rules.stopped(machine, it) }
         machine.tasks.clear()
     }
 
@@ -155,19 +162,22 @@
 
     private fun heartbeatInterval(): Long = random.nextLong(heartbeatMillis * 3 / 4, heartbeatMillis * 5 / 4)
 
-    /** Returns the time until the next heartbeat: short after a redirect to a named controller. */
+    /**
+     * Sends a heartbeat, carries out the commands of the response, and returns the milliseconds until the next
+     * heartbeat. The time is short after a redirect to a named controller.
+     */
     private suspend fun heartbeat(machine: SimulatedMachine): Long {
         val sentAt = simulation.now()
         val epoch = machine.epoch
         machine.sequenceNumber++
         val to = machine.target
-        val body = heartbeatOf(machine)
+        val body = heartbeatBody(machine)
         val response = withTimeoutOrNull(RESPONSE_TIMEOUT_MILLIS) { deliver(to, machine, body) }
         if ((response?.body as? Map<*, *>)?.get("error") == Routes.TOO_BUSY) heartbeatsDropped++
         if (machine.isTerminated) return 0
-        if (response == null || response.status != 200) return redirect(machine, to, response)
+        if (response == null || response.status != 200) return retarget(machine, to, response)
         if (isHung(machine) || machine.epoch != epoch) return heartbeatInterval()
-        ProtocolLimits.responseViolation(response.body)?.let { simulation.violated("${machine.name} got $it") }
+        ProtocolLimits.responseViolation(response.body)?.let { simulation.violated("${machine.name} received $it") }
         val fields = Fields.of(Documents.readCbor(Documents.writeCbor(response.body)))
         if (fields.long("warrant") < machine.fencingToken) return heartbeatInterval()
         machine.fencingToken = fields.long("warrant")
@@ -176,7 +186,7 @@
         return heartbeatInterval()
     }
 
-    private fun heartbeatOf(machine: SimulatedMachine): Map<String, Any?> =
+    private fun heartbeatBody(machine: SimulatedMachine): Map<String, Any?> =
         mapOf(
             "host" to machine.name,
             "endpoint" to "",
@@ -198,19 +208,23 @@
                 },
         )
 
-    private fun redirect(
+    /** Chooses the controller for the next heartbeat and returns the milliseconds until it is sent. */
+    private fun retarget(
         machine: SimulatedMachine,
         from: Int,
         response: Response?,
     ): Long {
-        val named = (response?.body as? Map<*, *>)?.get("dispatcher") as? String
-        val next = members.indexOf(named)
+        val leaderName = (response?.body as? Map<*, *>)?.get("dispatcher") as? String
+        val next = members.indexOf(leaderName)
         val isRedirected = next >= 0 && next != from
         machine.target = if (isRedirected) next else (from + 1) % members.size
-        return if (isRedirected) random.nextLong(0, 500) else NEXT_NODE_MILLIS
+        return if (isRedirected) random.nextLong(0, 500) else NEXT_CONTROLLER_MILLIS
     }
 
-    /** A heartbeat on its way: it may be copied, lost, held back for long, or its response lost. */
+    /**
+     * Delivers a heartbeat and returns the response. The heartbeat may be delivered twice, late or never, and the
+     * response may be lost. Returns null if no response arrives.
+     */
     private suspend fun deliver(
         to: Int,
         machine: SimulatedMachine,
@@ -220,16 +234,16 @@
         if (random.nextDouble() < simulation.faultRates.copied) deliverCopy(to, body)
         val controller = controllers()[to]
         if (machine.heartbeatsLostUntil > simulation.now()) return null
-        val luck = random.nextDouble()
-        if (isCut(to, machine.offer.zone) || luck < simulation.faultRates.late) {
+        val draw = random.nextDouble()
+        if (isCut(to, machine.offer.zone) || draw < simulation.faultRates.late) {
             deliverLate(to, body)
             delay(RESPONSE_TIMEOUT_MILLIS + 1000)
             return null
         }
-        if (controller == null || luck > 1 - simulation.faultRates.lossy) return null
+        if (controller == null || draw > 1 - simulation.faultRates.lossy) return null
         val response = controllers().request(controller, "POST", HEARTBEAT_PATH, body).await()
-        val responsesAreLost = machine.responsesLostUntil > simulation.now()
-        delay(if (responsesAreLost) RESPONSE_TIMEOUT_MILLIS + 1000 else transitMillis())
+        val areResponsesLost = machine.responsesLostUntil > simulation.now()
+        delay(if (areResponsesLost) RESPONSE_TIMEOUT_MILLIS + 1000 else transitMillis())
         val isLost = random.nextDouble() < simulation.faultRates.lossy || controllers()[to] !== controller
         return if (isLost) null else response
     }
@@ -238,9 +252,9 @@
         member: Int,
         zone: String,
     ): Boolean {
-        val zoneIsCut = (cutUntil[member to zone] ?: Duration.ZERO) > simulation.now()
-        val zonesAreCut = controllers().zonesCutUntil > simulation.now()
-        return zoneIsCut || (zonesAreCut && simulation.settings[member].area != zone)
+        val isZoneCut = (cutUntil[member to zone] ?: Duration.ZERO) > simulation.now()
+        val areZonesCut = controllers().zonesCutUntil > simulation.now()
+        return isZoneCut || (areZonesCut && simulation.settings[member].area != zone)
     }
 
     private fun deliverCopy(
@@ -276,7 +290,7 @@
         command: Fields,
     ) {
         val name = command.text("piece")
-        val id = TaskId.parse(name) ?: return simulation.violated("a command for $name")
+        val id = TaskId.parse(name) ?: return simulation.violated("a command for $name, which is not a task ID")
         val attempt = command.long("try")
         val present = machine.tasks[id]
         val isSameAttempt = present != null && present.attempt == attempt
@@ -284,7 +298,7 @@
             "start" ->
                 when {
                     isSameAttempt -> Unit
-                    present != null -> simulation.violated("$id is to start on ${machine.name} beside another attempt")
+                    present != null -> simulation.violated("start of $id on ${machine.name}, which has another attempt")
                     else -> start(machine, id, attempt)
                 }
             "stop" -> if (present != null && isSameAttempt && !present.hasExited) exit(machine, present, "halted")
@@ -300,7 +314,7 @@
         rules.startReceived(id)
         val spec: JobSpec = rules.specOf(id.job.value)
         val imageReadyAt = simulation.now() + random.nextLong(100, 2500).milliseconds
-        // A completed task that is started again exits as soon as it has its image.
+        // A task that has completed before and is started again exits as soon as its image has been fetched.
         val isCompleted = rules.isCompleted(id)
         val runTime = (spec.expectedSeconds * random.nextDouble(0.3, 2.0)).seconds
         val completesAt = imageReadyAt + if (isCompleted) Duration.ZERO else runTime
@@ -310,16 +324,16 @@
     private companion object {
         const val HEARTBEAT_PATH = "/agent/beat"
 
-        /** One machine in so many fails every task. */
+        /** One machine in this many is faulty and fails every task. */
         const val MACHINES_PER_FAULTY = 12
 
-        /** How often a worker looks at its lease and its tasks. */
+        /** How often a worker checks its lease and its tasks. */
         const val TICK_MILLIS = 100L
 
         /** How long a worker waits for the response to a heartbeat. */
         const val RESPONSE_TIMEOUT_MILLIS = 4000L
 
-        /** How long a worker waits before it tries the next controller. */
-        const val NEXT_NODE_MILLIS = 1000L
+        /** How long a worker waits before it sends its heartbeat to the next controller. */
+        const val NEXT_CONTROLLER_MILLIS = 1000L
     }
 }
--- a/src/test/kotlin/umberslip/sim/Simulation.kt
+++ b/src/test/kotlin/umberslip/sim/Simulation.kt
@@ -11,11 +11,11 @@
 import kotlin.time.Duration.Companion.milliseconds
 
 /**
- * The shares of calls and messages that go wrong all the time; larger faults are brought about by each test.
+ * The shares of calls and messages that fail throughout a run. Each test adds larger faults itself.
  *
- * @param lossy of calls and of answers, each: lost
- * @param late of calls and heartbeats: carried out or delivered long after the caller gave up
- * @param copied of heartbeats: delivered once more, later
+ * @param lossy of requests and, separately, of responses: lost
+ * @param late of requests and heartbeats: carried out or delivered long after the caller gave up
+ * @param copied of heartbeats: delivered a second time, later
  */
 class FaultRates(
     val lossy: Double,
@@ -23,7 +23,7 @@
     val copied: Double = 0.0,
 )
 
-/** What the parts of a simulated cluster share: virtual time, randomness, the members' settings, violations found. */
+/** The state that all parts of a simulated cluster share: virtual time, random numbers, settings and violations. */
 @OptIn(ExperimentalCoroutinesApi::class)
 class Simulation(
     seed: Int,
@@ -33,7 +33,7 @@
 ) {
     val random = Random(seed)
 
-    /** Of its own, so that the age of the cloud's lists does not change what else happens with a seed. */
+    /** A separate generator for the age of the cloud's lists: drawing from it changes nothing else in a seed's run. */
     val listRandom = Random(-seed)
     val scheduler = TestCoroutineScheduler()
     val dispatcher = StandardTestDispatcher(scheduler)
@@ -41,14 +41,14 @@
     val members = List(size.members) { "c-$it" }
     val settings = members.mapTo(ArrayList()) { Settings.parse(settingsJson(it)) }
 
-    /** The protocol's rules that were broken, with the time and what broke them. */
+    /** The violations of the protocol's rules, each with the time and what happened. */
     val violations = ArrayList<String>()
 
     val workerLease: Duration = settings[0].workers.lease
 
     fun now(): Duration = scheduler.currentTime.milliseconds
 
-    fun violated(what: String) {
-        violations += "${now()}: $what"
+    fun violated(description: String) {
+        violations += "${now()}: $description"
     }
 }
