--- a/src/test/kotlin/umberslip/sim/InMemoryKeyValueStoreTest.kt
+++ b/src/test/kotlin/umberslip/sim/InMemoryKeyValueStoreTest.kt
@@ -89,7 +89,7 @@
     }
 
     @Test
-    fun `changes are listed in order, and not listed if older ones than those kept are asked for`() {
+    fun `changes are listed in order, and none are listed after a revision that is too old`() {
         put("a/1")
         put("b/1")
         put("a/2")
--- a/src/test/kotlin/umberslip/sim/ProtocolRules.kt
+++ b/src/test/kotlin/umberslip/sim/ProtocolRules.kt
@@ -46,7 +46,7 @@
 
     // ---- jobs ----
 
-    fun add(spec: JobSpec) {
+    fun register(spec: JobSpec) {
         specs[spec.id.value] = spec
     }
 
@@ -181,7 +181,7 @@
     }
 
     /**
-     * Checks that no task on the machine still runs when the time that a cancellation has is over. To be called
+     * Checks that no task on the machine still runs after the time allowed for its cancellation. To be called
      * repeatedly.
      */
     fun checkCancelledTasks(machine: SimulatedMachine) {
--- a/src/test/kotlin/umberslip/sim/SimulatedCluster.kt
+++ b/src/test/kotlin/umberslip/sim/SimulatedCluster.kt
@@ -201,7 +201,7 @@
     fun cancel(id: String) = users.cancel(id)
 
     /** Registers the job's spec with the simulated workers, for tests that submit the job themselves. */
-    fun upload(spec: JobSpec) = rules.add(spec)
+    fun upload(spec: JobSpec) = rules.register(spec)
 
     /** Returns the accepted jobs that have not ended and for which no cancellation was requested. */
     fun openJobs(): List<String> = rules.openJobs()
--- a/src/test/kotlin/umberslip/sim/SimulatedUsers.kt
+++ b/src/test/kotlin/umberslip/sim/SimulatedUsers.kt
@@ -32,7 +32,7 @@
         spec: JobSpec,
         cancelAfter: Duration?,
     ) {
-        rules.add(spec)
+        rules.register(spec)
         simulation.scope.launch {
             val connection = Connection()
             while (spec.dependencies.any { !rules.isAccepted(it.value) }) delay(200)
