--- a/src/test/kotlin/umberslip/sim/InMemoryKeyValueStoreTest.kt
+++ b/src/test/kotlin/umberslip/sim/InMemoryKeyValueStoreTest.kt
@@ -106,8 +106,8 @@
     fun `keys are listed in order, page by page`() {
         listOf("a/3", "a/1", "b", "a/2").forEach { put(it) }
         val first = store.list("a/", null)
-        assertEquals(listOf("a/1", "a/2") to true, first.entries.map { it.key } to first.more)
+        assertEquals(listOf("a/1", "a/2") to true, first.entries.map { it.key } to first.hasMore)
         val second = store.list("a/", first.entries.last().key)
-        assertEquals(listOf("a/3") to false, second.entries.map { it.key } to second.more)
+        assertEquals(listOf("a/3") to false, second.entries.map { it.key } to second.hasMore)
     }
 }
--- a/src/test/kotlin/umberslip/sim/ProtocolLimits.kt
+++ b/src/test/kotlin/umberslip/sim/ProtocolLimits.kt
@@ -55,8 +55,8 @@
     ): String? {
         val body =
             mapOf(
-                KeyValueStoreProtocol.PRECONDITIONS to preconditions.map(KeyValueStoreProtocol::precondition),
-                KeyValueStoreProtocol.WRITES to writes.map(KeyValueStoreProtocol::write),
+                KeyValueStoreProtocol.PRECONDITIONS to preconditions.map(KeyValueStoreProtocol::encodePrecondition),
+                KeyValueStoreProtocol.WRITES to writes.map(KeyValueStoreProtocol::encodeWrite),
             )
         val bytes = Documents.jsonSize(body)
         return when {
--- a/src/test/kotlin/umberslip/sim/SimulatedControllers.kt
+++ b/src/test/kotlin/umberslip/sim/SimulatedControllers.kt
@@ -120,7 +120,7 @@
 
     private fun peerHealth(from: Int): PeerHealth {
         val reachable = members.indices.filter { it != from && canReach(from, it) }
-        return if (reachable.any { controllers[it]?.served() == true }) {
+        return if (reachable.any { controllers[it]?.isServedByStore() == true }) {
             PeerHealth.SERVED
         } else if (reachable.isEmpty()) {
             PeerHealth.UNREACHABLE
@@ -134,7 +134,7 @@
         to: Int,
     ): Boolean {
         val now = simulation.now()
-        val areZonesCut = zonesCutUntil > now && simulation.settings[from].area != simulation.settings[to].area
+        val areZonesCut = zonesCutUntil > now && simulation.settings[from].zone != simulation.settings[to].zone
         val isCutFromPeers = maxOf(cutFromPeersUntil[from], cutFromPeersUntil[to]) > now
         return controllers[to] != null &&
             !isUnresponsive(to) &&
--- a/src/test/kotlin/umberslip/sim/SimulatedStoreLink.kt
+++ b/src/test/kotlin/umberslip/sim/SimulatedStoreLink.kt
@@ -98,7 +98,7 @@
         return read { store.get(key) }
     }
 
-    override suspend fun lookUp(key: String) = get(key)
+    override suspend fun getLowPriority(key: String) = get(key)
 
     override suspend fun list(
         prefix: String,
--- a/src/test/kotlin/umberslip/sim/SimulatedUsers.kt
+++ b/src/test/kotlin/umberslip/sim/SimulatedUsers.kt
@@ -144,7 +144,7 @@
             response
                 ?.let { ProtocolLimits.responseViolation(it.body) }
                 ?.let { simulation.violated("$path was answered with $it") }
-            controller = target.takeIf { response?.close == false }
+            controller = target.takeIf { response?.closeConnection == false }
             return response
         }
 
--- a/src/test/kotlin/umberslip/sim/SimulatedWorkers.kt
+++ b/src/test/kotlin/umberslip/sim/SimulatedWorkers.kt
@@ -254,7 +254,7 @@
     ): Boolean {
         val isZoneCut = (cutUntil[member to zone] ?: Duration.ZERO) > simulation.now()
         val areZonesCut = controllers().zonesCutUntil > simulation.now()
-        return isZoneCut || (areZonesCut && simulation.settings[member].area != zone)
+        return isZoneCut || (areZonesCut && simulation.settings[member].zone != zone)
     }
 
     private fun deliverCopy(
