--- a/src/main/kotlin/umberslip/daemon/Controller.kt
+++ b/src/main/kotlin/umberslip/daemon/Controller.kt
@@ -56,7 +56,7 @@
 ) : LeadershipListener {
     private val timings = Timings(settings.workers, tuning)
     private val leaderLease = LeaderLease(timings)
-    private val readiness = Readiness(settings.known.isEmpty())
+    private val readiness = Readiness(settings.peers.isEmpty())
     private val recordWatcher: RecordWatcher = RecordWatcher(scope, store, clock, settings.sockets, ::recordsChanged)
     private val jobApi = createJobApi()
     private val leader = createLeader()
--- a/src/main/kotlin/umberslip/daemon/Daemon.kt
+++ b/src/main/kotlin/umberslip/daemon/Daemon.kt
@@ -50,7 +50,7 @@
             scope,
             group,
             settings.member,
-            settings.known,
+            settings.peers,
             clock,
             { controller.refreshRecords() },
             { controller.served() },
@@ -73,7 +73,7 @@
 
     private fun storeRateLimiter(): RateLimiter {
         val limits = settings.storeLimits
-        return RateLimiter(limits.rps / settings.nodes, clock, limits.nextRps / settings.nodes)
+        return RateLimiter(limits.rps / settings.controllerCount, clock, limits.nextRps / settings.controllerCount)
     }
 
     private fun cloudRateLimiter() = RateLimiter(settings.cloudRps * CLOUD_SHARE, clock)
@@ -95,7 +95,7 @@
         log.info(
             "controller started: member={} zone={} address={}",
             settings.member,
-            settings.area,
+            settings.zone,
             settings.bind,
         )
         server.closeFuture().sync()
--- a/src/main/kotlin/umberslip/leadership/LeaderElection.kt
+++ b/src/main/kotlin/umberslip/leadership/LeaderElection.kt
@@ -160,7 +160,7 @@
 
     /** A former leader can have renewed a worker's lease for the last time at the end of its grace. */
     private fun formerLeaseExpiry(acquiredAt: Duration): Duration {
-        val graceAndLease = timings.stretched(timings.grace + timings.lease)
+        val graceAndLease = timings.withClockDrift(timings.grace + timings.lease)
         return acquiredAt + graceAndLease + timings.margin * 2
     }
 
--- a/src/main/kotlin/umberslip/provisioning/CloudReconciliation.kt
+++ b/src/main/kotlin/umberslip/provisioning/CloudReconciliation.kt
@@ -120,7 +120,7 @@
         val known = snapshot.machines.map { KnownMachine(it.name, it.provisionedBefore, it.sinceAnyContact) }
         val missing =
             missingMachines
-                ?.of(listBegan, listed, known)
+                ?.find(listBegan, listed, known)
                 .orEmpty()
                 .filter { !termination.isPendingOrTerminated(it) }
         if (missing.isEmpty()) return
--- a/src/main/kotlin/umberslip/recovery/MissingMachines.kt
+++ b/src/main/kotlin/umberslip/recovery/MissingMachines.kt
@@ -28,13 +28,13 @@
     timings: Timings,
 ) {
     /** After this long, a machine is listed for certain. */
-    private val listedWithin = timings.stretched(settings.listLag * MAX_LIST_LAGS) + timings.margin
+    private val listedWithin = timings.withClockDrift(settings.listLag * MAX_LIST_LAGS) + timings.margin
 
     /** A machine with contact within this time exists, whatever a list says. */
     private val inContactWithin = settings.workers.heartbeatInterval * HEARTBEATS_MISSED
 
     /** Those of [machines] that are missing from the names [listed] by a request that was sent at [listBegan]. */
-    fun of(
+    fun find(
         listBegan: Duration,
         listed: Set<MachineName>,
         machines: Collection<KnownMachine>,
--- a/src/main/kotlin/umberslip/scheduling/JobObjectives.kt
+++ b/src/main/kotlin/umberslip/scheduling/JobObjectives.kt
@@ -51,7 +51,7 @@
 
     private fun deadlineFactors(spec: JobSpec): List<Double> {
         val deadlines = objectives.filterIsInstance<Objective.Deadline>()
-        return deadlines.filter { it.jobClass == spec.jobClass }.map { it.times }
+        return deadlines.filter { it.jobClass == spec.jobClass }.map { it.factor }
     }
 
     private companion object {
--- a/src/main/kotlin/umberslip/scheduling/LeaseExpiry.kt
+++ b/src/main/kotlin/umberslip/scheduling/LeaseExpiry.kt
@@ -19,7 +19,7 @@
     timings: Timings,
 ) {
     private val log = LoggerFactory.getLogger("umberslip.scheduling")
-    private val revocationTime = timings.stretched(timings.lease) + timings.margin
+    private val revocationTime = timings.withClockDrift(timings.lease) + timings.margin
 
     /** [isZoneUnresponsive] says whether no machine of its zone has contact. */
     fun check(
--- a/src/main/kotlin/umberslip/scheduling/SchedulerState.kt
+++ b/src/main/kotlin/umberslip/scheduling/SchedulerState.kt
@@ -38,7 +38,7 @@
     private val tasksPerBlock = ProgressRecord.tasksPerBlock(settings.storeLimits.blockBytes)
 
     /** How long a worker may rely on a renewal of its lease, by the slowest clock, with a margin. */
-    private val renewedLease = timings.stretched(timings.lease) + timings.margin
+    private val renewedLease = timings.withClockDrift(timings.lease) + timings.margin
 
     /** Accepted jobs that have not ended, in the order in which they became known. */
     val jobs = LinkedHashMap<JobId, RunningJob>()
@@ -63,7 +63,7 @@
     private val starvationGuard = StarvationGuard()
     private val assignments =
         AssignmentLifecycle(jobs, machines, teams, cachedImages, starvationGuard, writeAheadLog)
-    internal val gangAssembly = GangAssembly(teams, assignments, settings.workers.gangWait)
+    internal val gangAssembly = GangAssembly(teams, assignments, settings.workers.assemblyTimeout)
     private val dispatchRounds = DispatchRounds(teams, starvationGuard, assignments, gangAssembly)
     private val machineHeartbeats = MachineHeartbeats(instanceTypes, writeAheadLog.pendingRevocations)
     private val heartbeatReconciliation = HeartbeatReconciliation(assignments, failures)
@@ -142,7 +142,7 @@
                 jobObjectives.objectiveDeadlines(spec, submittedAt, submittedAt),
                 jobObjectives.deadlines(spec, submittedAt),
             )
-        job.assemblyTimeout = settings.workers.gangWait
+        job.assemblyTimeout = settings.workers.assemblyTimeout
         job.lastPlaced = now
         job.waitingSince = now
         return job
--- a/src/main/kotlin/umberslip/settings/Settings.kt
+++ b/src/main/kotlin/umberslip/settings/Settings.kt
@@ -12,7 +12,7 @@
 data class Peer(
     val member: String,
     /** The zone that it runs in. */
-    val area: String,
+    val zone: String,
     val address: InetSocketAddress,
 )
 
@@ -36,10 +36,10 @@
         val within: Duration,
     ) : Objective
 
-    /** Jobs of the class finish within their own deadline multiplied by [times]. */
+    /** Jobs of the class finish within their own deadline multiplied by [factor]. */
     data class Deadline(
         val jobClass: String,
-        val times: Double,
+        val factor: Double,
     ) : Objective
 
     /** A share of the tasks of such jobs starts within this time. */
@@ -60,7 +60,7 @@
     /** A worker stops its tasks when no response renewed its lease for this long. */
     val lease: Duration,
     /** The assembly timeout: how long a gang's tasks wait until all of them run. */
-    val gangWait: Duration,
+    val assemblyTimeout: Duration,
     /** How long a gang's tasks take to notice that one of them disappeared. */
     val gangPeer: Duration,
     /** The most time from a cancellation's acknowledgement to the end of its last task. */
@@ -93,16 +93,16 @@
 data class Settings(
     /** This controller's name. */
     val member: String,
-    val area: String,
+    val zone: String,
     /** Where users and workers connect. */
     val bind: InetSocketAddress,
     val peerListen: InetSocketAddress,
     /** The other controllers. */
-    val known: List<Peer>,
+    val peers: List<Peer>,
     val cloudAddress: InetSocketAddress,
     val storeAddress: InetSocketAddress,
     /** The number of controllers, which share the key-value store's rate limit. */
-    val nodes: Int,
+    val controllerCount: Int,
     val zones: List<String>,
     val teams: List<TeamSettings>,
     val objectives: List<Objective>,
--- a/src/main/kotlin/umberslip/settings/SettingsParser.kt
+++ b/src/main/kotlin/umberslip/settings/SettingsParser.kt
@@ -87,13 +87,13 @@
         val teams = teams(settings)
         return Settings(
             member = member(file),
-            area = file.text(SettingsKey.AREA),
+            zone = file.text(SettingsKey.AREA),
             bind = address(file, SettingsKey.BIND),
             peerListen = address(file, SettingsKey.PEER_LISTEN),
-            known = file.maps(SettingsKey.KNOWN).map(::peer),
+            peers = file.maps(SettingsKey.KNOWN).map(::peer),
             cloudAddress = address(file.map(SettingsKey.ENDPOINTS), SettingsKey.CLOUD),
             storeAddress = address(file.map(SettingsKey.ENDPOINTS), SettingsKey.STORE),
-            nodes = positive(settings, SettingsKey.NODES).toInt(),
+            controllerCount = positive(settings, SettingsKey.NODES).toInt(),
             zones = zones(settings),
             teams = teams,
             objectives = settings.mapsOrEmpty(SettingsKey.OBJECTIVES).mapNotNull(::objective),
@@ -115,7 +115,7 @@
     private fun peer(fields: Fields) =
         Peer(
             member = fields.text(SettingsKey.MEMBER),
-            area = fields.text(SettingsKey.AREA),
+            zone = fields.text(SettingsKey.AREA),
             address = address(fields, SettingsKey.ADDRESS),
         )
 
@@ -161,7 +161,7 @@
         WorkerSettings(
             heartbeatInterval = seconds(fields, SettingsKey.HEARTBEAT_INTERVAL_SECONDS),
             lease = seconds(fields, SettingsKey.LEASE_SECONDS),
-            gangWait = seconds(fields, SettingsKey.GANG_WAIT_SECONDS),
+            assemblyTimeout = seconds(fields, SettingsKey.GANG_WAIT_SECONDS),
             gangPeer = seconds(fields, SettingsKey.GANG_PEER_SECONDS),
             cancel = seconds(fields, SettingsKey.CANCEL_SECONDS),
         )
--- a/src/main/kotlin/umberslip/settings/Timings.kt
+++ b/src/main/kotlin/umberslip/settings/Timings.kt
@@ -39,7 +39,7 @@
     }
 
     /** A time on another machine's clock, as the most that may pass on this one's. */
-    fun stretched(time: Duration): Duration = time * STRETCH
+    fun withClockDrift(time: Duration): Duration = time * STRETCH
 
     private companion object {
         /** Clocks drift apart by at most 0.05 %; twice that is allowed for. */
--- a/src/test/kotlin/umberslip/recovery/MissingMachinesTest.kt
+++ b/src/test/kotlin/umberslip/recovery/MissingMachinesTest.kt
@@ -44,7 +44,7 @@
                         val since = lifetime.from + random.nextInt(20_000).milliseconds
                         KnownMachine(lifetime.name, since, random.nextInt(30_000).milliseconds)
                     }
-                for (name in missing.of(began, listed, known)) {
+                for (name in missing.find(began, listed, known)) {
                     found++
                     val lifetime = lifetimes.first { it.name == name }
                     assertTrue(lifetime.to <= began, "seed $seed: $name exists until ${lifetime.to}, list of $began")
@@ -58,8 +58,8 @@
     fun `a machine is found missing by the first list that must show it, unless it had contact lately`() {
         val known = KnownMachine(MachineName("m"), 100.seconds, 20.seconds)
         val inContact = KnownMachine(MachineName("n"), 100.seconds, 2.seconds)
-        assertEquals(emptyList<MachineName>(), missing.of(108.seconds, emptySet(), listOf(known, inContact)))
-        assertEquals(listOf(known.name), missing.of(110.seconds, emptySet(), listOf(known, inContact)))
-        assertEquals(emptyList<MachineName>(), missing.of(110.seconds, setOf(known.name), listOf(known)))
+        assertEquals(emptyList<MachineName>(), missing.find(108.seconds, emptySet(), listOf(known, inContact)))
+        assertEquals(listOf(known.name), missing.find(110.seconds, emptySet(), listOf(known, inContact)))
+        assertEquals(emptyList<MachineName>(), missing.find(110.seconds, setOf(known.name), listOf(known)))
     }
 }
--- a/src/test/kotlin/umberslip/sim/SimulatedControllers.kt
+++ b/src/test/kotlin/umberslip/sim/SimulatedControllers.kt
@@ -134,7 +134,7 @@
         to: Int,
     ): Boolean {
         val now = simulation.now()
-        val zonesAreCut = zonesCutUntil > now && simulation.settings[from].area != simulation.settings[to].area
+        val zonesAreCut = zonesCutUntil > now && simulation.settings[from].zone != simulation.settings[to].zone
         val peersAreCut = maxOf(cutFromPeersUntil[from], cutFromPeersUntil[to]) > now
         return controllers[to] != null &&
             !isUnresponsive(to) &&
--- a/src/test/kotlin/umberslip/sim/SimulatedWorkers.kt
+++ b/src/test/kotlin/umberslip/sim/SimulatedWorkers.kt
@@ -240,7 +240,7 @@
     ): Boolean {
         val zoneIsCut = (cutUntil[member to zone] ?: Duration.ZERO) > simulation.now()
         val zonesAreCut = controllers().zonesCutUntil > simulation.now()
-        return zoneIsCut || (zonesAreCut && simulation.settings[member].area != zone)
+        return zoneIsCut || (zonesAreCut && simulation.settings[member].zone != zone)
     }
 
     private fun deliverCopy(
