--- a/src/main/kotlin/umberslip/cli/Check.kt
+++ b/src/main/kotlin/umberslip/cli/Check.kt
@@ -5,7 +5,7 @@
 import picocli.CommandLine.Spec
 import java.util.concurrent.Callable
 
-/** Checks the settings files as `serve` would, and starts nothing. */
+/** Checks the settings files as `serve` does, but starts no controller. */
 @Command(name = "check", mixinStandardHelpOptions = true, description = ["Check the settings files and exit."])
 class Check :
     SettingsOptions(),
@@ -16,8 +16,8 @@
     override fun call(): Int {
         val (settings, _) = load()
         spec.commandLine().out.run {
-            val size = "${settings.teams.size} teams, ${settings.zones.size} zones"
-            println("${settings.member}: settings are valid ($size)")
+            val counts = "${settings.teams.size} teams, ${settings.zones.size} zones"
+            println("${settings.member}: settings are valid ($counts)")
             flush()
         }
         return 0
--- a/src/main/kotlin/umberslip/cli/KeyValueStoreReader.kt
+++ b/src/main/kotlin/umberslip/cli/KeyValueStoreReader.kt
@@ -14,14 +14,17 @@
 import java.util.concurrent.TimeUnit
 import kotlin.time.TimeSource
 
-/** One-off reads for commands, at a small share of the rate, since the controllers need the rest. */
+/**
+ * Runs one-off reads of the key-value store for commands. They use a small share of the request rate, since the
+ * controllers need the rest.
+ */
 object KeyValueStoreReader {
-    private const val MAX_BODY = 8 * 1024 * 1024
+    private const val MAX_BODY_BYTES = 8 * 1024 * 1024
     private const val REQUEST_SHARE = 0.05
 
     fun <T> read(
         settings: Settings,
-        what: suspend (KeyValueStore) -> T,
+        block: suspend (KeyValueStore) -> T,
     ): T {
         val group = MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory())
         val origin = TimeSource.Monotonic.markNow()
@@ -29,7 +32,7 @@
         try {
             return runBlocking {
                 withContext(group.next().asCoroutineDispatcher()) {
-                    what(HttpKeyValueStore(HttpClient(group, settings.storeAddress, MAX_BODY), rateLimiter))
+                    block(HttpKeyValueStore(HttpClient(group, settings.storeAddress, MAX_BODY_BYTES), rateLimiter))
                 }
             }
         } finally {
--- a/src/main/kotlin/umberslip/cli/Main.kt
+++ b/src/main/kotlin/umberslip/cli/Main.kt
@@ -9,7 +9,7 @@
 
 private const val VERSION = "umberslip 0.1.0"
 
-/** The program `umberslip`; its commands do the work. */
+/** The root command of the program `umberslip`; its subcommands do the work. */
 @Command(
     name = "umberslip",
     version = [VERSION],
@@ -24,7 +24,7 @@
     }
 
     companion object {
-        /** To be called before the first logger is made, since slf4j-simple reads its settings only then. */
+        /** Must be called before the first logger is created, since slf4j-simple reads its settings only then. */
         fun configureLogging(defaultLevel: String) {
             System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", System.getenv("LOG_LEVEL") ?: defaultLevel)
             System.setProperty("org.slf4j.simpleLogger.log.io.netty", "error")
@@ -32,12 +32,15 @@
             System.setProperty("org.slf4j.simpleLogger.showShortLogName", "true")
         }
 
-        /** What the operator can mend is said in one line and ends with code 1; anything else is a defect. */
+        /**
+         * Returns the command line. It reports errors that the operator can fix in one line and exits with code 1. It
+         * rethrows any other exception, which is a defect.
+         */
         fun commandLine(): CommandLine =
-            CommandLine(Umberslip()).setExecutionExceptionHandler { e, line, _ ->
+            CommandLine(Umberslip()).setExecutionExceptionHandler { e, commandLine, _ ->
                 if (e !is InvalidSettingsException && e !is ListenException) throw e
-                line.err.println("umberslip: ${e.message}")
-                line.err.flush()
+                commandLine.err.println("umberslip: ${e.message}")
+                commandLine.err.flush()
                 CommandLine.ExitCode.SOFTWARE
             }
     }
--- a/src/main/kotlin/umberslip/cli/RecoveryCommand.kt
+++ b/src/main/kotlin/umberslip/cli/RecoveryCommand.kt
@@ -16,7 +16,8 @@
 import java.util.concurrent.Callable
 
 /**
- * Shows how far the leader has come after a takeover. Only reads, from the key-value store and controllers' metrics.
+ * Shows the progress of the leader's recovery after a failover. Reads the key-value store and the controllers' metrics,
+ * and changes nothing.
  */
 @Command(
     name = "recovery",
@@ -53,7 +54,7 @@
         val out = spec.commandLine().out
         val (settings, _) = load()
         val addresses = if (controllers.isEmpty()) listOf(settings.bind) else controllers.map(Settings::address)
-        val report = RecoveryReport(readRecords(settings), ControllerMetrics().let { addresses.map(it::ask) })
+        val report = RecoveryReport(readRecords(settings), ControllerMetrics().let { addresses.map(it::query) })
         out.println(if (json) RecoveryReportJson.render(report) else RecoveryReportText.render(report))
         out.flush()
         return report.status.exitCode
@@ -69,7 +70,7 @@
         }
 }
 
-/** For programs that read the report. */
+/** Prints the schema of the JSON report, for programs that read it. */
 @Command(
     name = "recovery-schema",
     mixinStandardHelpOptions = true,
--- a/src/main/kotlin/umberslip/cli/SettingsOptions.kt
+++ b/src/main/kotlin/umberslip/cli/SettingsOptions.kt
@@ -10,13 +10,13 @@
 import java.nio.file.NoSuchFileException
 import java.nio.file.Path
 
-/** Both settings files, read and checked against one another. */
+/** Both settings files after they were read, validated and checked against each other. */
 data class LoadedSettings(
     val settings: Settings,
     val tuning: Tuning,
 )
 
-/** The options of all commands that read the two files which a controller reads. */
+/** The options of all commands that read a controller's two settings files. */
 abstract class SettingsOptions {
     @Option(names = ["--config"], required = true, paramLabel = "F", description = ["the platform's settings (JSON)"])
     lateinit var config: Path
@@ -24,11 +24,11 @@
     @Option(names = ["--tuning"], paramLabel = "F", description = ["the operators' own settings (TOML)"])
     var tuningFile: Path? = null
 
-    /** @throws InvalidSettingsException naming the file, the key where there is one, and what is wrong */
+    /** @throws InvalidSettingsException with a message that names the file, the key if there is one, and the problem */
     protected fun load(): LoadedSettings {
         val settings = parse(config, Settings::parse)
         val tuning = tuningFile?.let { parse(it, Tuning::parse) } ?: Tuning()
-        checkTogether(settings, tuning)
+        checkCombination(settings, tuning)
         return LoadedSettings(settings, tuning)
     }
 
@@ -53,8 +53,11 @@
             throw InvalidSettingsException("$file cannot be read: ${e.message}")
         }
 
-    /** Some bounds follow from both files; the tuning has to give way, since the platform's settings are handed out. */
-    private fun checkTogether(
+    /**
+     * Checks bounds that depend on both files. The error names the tuning file if there is one, since the platform's
+     * settings are given and only the tuning can be changed.
+     */
+    private fun checkCombination(
         settings: Settings,
         tuning: Tuning,
     ) {
--- a/src/main/kotlin/umberslip/cli/WarmUp.kt
+++ b/src/main/kotlin/umberslip/cli/WarmUp.kt
@@ -8,8 +8,8 @@
 import kotlin.concurrent.thread
 
 /**
- * Used by the build: starts a controller whose neighbours do not answer, for a short while, so that the classes which a
- * start needs go into the class-data archive.
+ * Runs a controller for a short time while the cloud and the key-value store do not respond. The build uses this to
+ * collect the classes that a start needs for the class-data archive.
  */
 @Command(name = "warm-up", hidden = true)
 class WarmUp : Callable<Int> {
--- a/src/main/kotlin/umberslip/recovery/ControllerAnswer.kt
+++ b/src/main/kotlin/umberslip/recovery/ControllerAnswer.kt
@@ -1,26 +1,29 @@
 package umberslip.recovery
 
-/** What one controller says of the recovery, or why it says nothing; [address] is that of its HTTP interface. */
+/**
+ * A controller's answer to a query for its recovery metrics, or the reason why there is none. [address] is that of its
+ * HTTP interface.
+ */
 sealed interface ControllerAnswer {
     val address: String
 
-    /** It leads; the snapshot is that of its term. */
+    /** The controller leads; [snapshot] shows the recovery of its term. */
     data class Leader(
         override val address: String,
         val snapshot: RecoverySnapshot,
     ) : ControllerAnswer
 
-    /** It tracks recovery and does not lead. */
+    /** The controller tracks recovery but does not lead. */
     data class NotLeader(
         override val address: String,
     ) : ControllerAnswer
 
-    /** It serves metrics, and recovery is not tracked there. */
+    /** The controller serves metrics but does not track recovery. */
     data class NotTracked(
         override val address: String,
     ) : ControllerAnswer
 
-    /** It could not be asked, or did not answer as a controller does. */
+    /** The controller could not be reached, or did not respond with metrics. */
     data class Unreachable(
         override val address: String,
         val reason: String,
--- a/src/main/kotlin/umberslip/recovery/ControllerMetrics.kt
+++ b/src/main/kotlin/umberslip/recovery/ControllerMetrics.kt
@@ -11,34 +11,37 @@
 import kotlin.time.Duration.Companion.seconds
 import kotlin.time.toJavaDuration
 
-/** Reads the metrics that [RecoveryMetrics] publishes, over the controllers' HTTP interface. Blocks the caller. */
+/**
+ * Reads the metrics that [RecoveryMetrics] publishes through the controllers' HTTP interface. Blocks the calling
+ * thread.
+ */
 class ControllerMetrics(
-    /** For the connection and for the response, each. */
+    /** The timeout of the connection and, separately, of the response. */
     private val timeout: Duration = 3.seconds,
 ) {
     private val client = HttpClient.newBuilder().connectTimeout(timeout.toJavaDuration()).build()
 
-    /** Never fails: a controller that cannot be asked is [ControllerAnswer.Unreachable]. */
-    fun ask(address: InetSocketAddress): ControllerAnswer {
-        val name = "${address.hostString}:${address.port}"
+    /** Never fails: returns [ControllerAnswer.Unreachable] if the controller cannot be queried. */
+    fun query(address: InetSocketAddress): ControllerAnswer {
+        val hostAndPort = "${address.hostString}:${address.port}"
         val request =
-            HttpRequest.newBuilder(URI.create("http://$name/metrics")).timeout(timeout.toJavaDuration()).build()
+            HttpRequest.newBuilder(URI.create("http://$hostAndPort/metrics")).timeout(timeout.toJavaDuration()).build()
         return try {
             val response = client.send(request, HttpResponse.BodyHandlers.ofString())
             if (response.statusCode() == OK) {
-                parse(name, response.body())
+                parse(hostAndPort, response.body())
             } else {
-                ControllerAnswer.Unreachable(name, "answered ${response.statusCode()}")
+                ControllerAnswer.Unreachable(hostAndPort, "answered ${response.statusCode()}")
             }
         } catch (e: IOException) {
-            ControllerAnswer.Unreachable(name, e.message ?: "no connection")
+            ControllerAnswer.Unreachable(hostAndPort, e.message ?: "no connection")
         }
     }
 
     companion object {
         private const val OK = 200
 
-        /** Reads Prometheus' text format: one sample a line, `name{labels} value`. */
+        /** Parses Prometheus' text format, which has one sample per line: `name{labels} value`. */
         fun parse(
             address: String,
             metrics: String,
@@ -49,39 +52,39 @@
                 val value = line.substringAfterLast(' ').toDoubleOrNull() ?: continue
                 samples[line.substringBeforeLast(' ')] = value
             }
-            val term = samples[exported(RecoveryMetrics.TERM)] ?: return ControllerAnswer.NotTracked(address)
+            val term = samples[prometheusName(RecoveryMetrics.TERM)] ?: return ControllerAnswer.NotTracked(address)
             if (term == 0.0) return ControllerAnswer.NotLeader(address)
-            return ControllerAnswer.Leader(address, snapshot(samples))
+            return ControllerAnswer.Leader(address, parseSnapshot(samples))
         }
 
-        private fun snapshot(samples: Map<String, Double>): RecoverySnapshot {
-            fun count(name: String) = samples[exported(name)]?.toInt() ?: 0
+        private fun parseSnapshot(samples: Map<String, Double>): RecoverySnapshot {
+            fun number(name: String) = samples[prometheusName(name)]?.toInt() ?: 0
 
-            fun time(name: String) = samples[exported(name)]?.takeIf { it.isFinite() }?.seconds
+            fun duration(name: String) = samples[prometheusName(name)]?.takeIf { it.isFinite() }?.seconds
 
             return RecoverySnapshot(
-                term = Term(count(RecoveryMetrics.TERM).toLong()),
-                phase = RecoveryPhase.entries[count(RecoveryMetrics.PHASE)],
-                elapsed = time(RecoveryMetrics.ELAPSED) ?: Duration.ZERO,
-                recordedTasks = count(RecoveryMetrics.RECORDED_TASKS),
-                unreconciledMachines = count(RecoveryMetrics.UNRECONCILED_MACHINES),
-                unreconciledTasks = count(RecoveryMetrics.UNRECONCILED_TASKS),
-                lostTasks = count(RecoveryMetrics.LOST_TASKS),
-                findings = findings(samples),
-                firstAdoptionAfter = time(RecoveryMetrics.FIRST_ADOPTION),
-                mostAccountedForAfter = time(RecoveryMetrics.MOST_ACCOUNTED_FOR),
-                completedAfter = time(RecoveryMetrics.COMPLETED),
+                term = Term(number(RecoveryMetrics.TERM).toLong()),
+                phase = RecoveryPhase.entries[number(RecoveryMetrics.PHASE)],
+                elapsed = duration(RecoveryMetrics.ELAPSED) ?: Duration.ZERO,
+                recordedTasks = number(RecoveryMetrics.RECORDED_TASKS),
+                unreconciledMachines = number(RecoveryMetrics.UNRECONCILED_MACHINES),
+                unreconciledTasks = number(RecoveryMetrics.UNRECONCILED_TASKS),
+                lostTasks = number(RecoveryMetrics.LOST_TASKS),
+                findings = parseFindings(samples),
+                firstAdoptionAfter = duration(RecoveryMetrics.FIRST_ADOPTION),
+                mostAccountedForAfter = duration(RecoveryMetrics.MOST_ACCOUNTED_FOR),
+                completedAfter = duration(RecoveryMetrics.COMPLETED),
             )
         }
 
-        private fun findings(samples: Map<String, Double>): Map<ReconciliationFinding, Int> =
+        private fun parseFindings(samples: Map<String, Double>): Map<ReconciliationFinding, Int> =
             ReconciliationFinding.entries
                 .associateWith { finding ->
                     val label = "${RecoveryMetrics.FINDING_TAG}=\"${finding.jsonName}\""
-                    samples["${exported(RecoveryMetrics.FINDINGS)}{$label}"]?.toInt() ?: 0
+                    samples["${prometheusName(RecoveryMetrics.FINDINGS)}{$label}"]?.toInt() ?: 0
                 }.filterValues { it > 0 }
 
-        /** As Micrometer's Prometheus registry writes a meter's name. */
-        private fun exported(name: String) = name.replace('.', '_')
+        /** Returns a meter's name in the form that Micrometer's Prometheus registry exports. */
+        private fun prometheusName(name: String) = name.replace('.', '_')
     }
 }
--- a/src/main/kotlin/umberslip/recovery/MissingMachines.kt
+++ b/src/main/kotlin/umberslip/recovery/MissingMachines.kt
@@ -6,49 +6,54 @@
 import kotlin.time.Duration
 
 /**
- * A machine that the leader knows of. It was certainly provisioned at [provisionedBefore], a time of the steady clock;
- * [sinceContact] is the time since any controller had contact with it.
+ * A machine that the leader knows. [provisionedBefore] is a time on the monotonic clock at which it was certainly
+ * provisioned; [sinceAnyContact] is the time since its last contact with any controller.
  */
 class KnownMachine(
     val name: MachineName,
     val provisionedBefore: Duration,
-    val sinceContact: Duration,
+    val sinceAnyContact: Duration,
 )
 
 /**
- * Finds machines that the cloud's list must show if they still exist, and does not. The list may be as old as twice the
- * lag that the settings name, and a machine stays listed from then until it is terminated; so a list that was requested
- * later than that after the machine was known to be provisioned proves the loss. Pure: time is an input.
+ * Finds machines that must be gone because the cloud's list would show them if they still existed.
  *
- * The caller still terminates such a machine at the cloud before it starts the tasks elsewhere, and so rests on the
- * cloud's response alone: a list that breaks its promise costs a machine, never a rule.
+ * The list lags by at most twice the lag in the settings. Once listed, a machine stays listed until it is terminated.
+ * So a machine is gone if it is missing from a list that was requested more than that lag after the machine was known
+ * to be provisioned. Pure: time is an input.
+ *
+ * The caller still terminates such a machine at the cloud before it starts the tasks elsewhere, so safety depends only
+ * on the cloud's response to that request. A list that lags further costs a running machine but breaks no safety rule.
  */
 class MissingMachines(
     settings: Settings,
     timings: Timings,
 ) {
-    /** After this long, a machine is listed for certain. */
+    /** A list that is requested this long after a machine was provisioned certainly shows the machine. */
     private val listedWithin = timings.withClockDrift(settings.listLag * MAX_LIST_LAGS) + timings.margin
 
-    /** A machine with contact within this time exists, whatever a list says. */
-    private val inContactWithin = settings.workers.heartbeatInterval * HEARTBEATS_MISSED
+    /** A machine that had contact within this time counts as existing, whatever the list says. */
+    private val inContactWithin = settings.workers.heartbeatInterval * MAX_MISSED_HEARTBEATS
 
-    /** Those of [machines] that are missing from the names [listed] by a request that was sent at [listBegan]. */
+    /**
+     * Returns those of [machines] that are certainly gone. [listed] has the names in the response to the request that
+     * was sent at [listRequestedAt].
+     */
     fun find(
-        listBegan: Duration,
+        listRequestedAt: Duration,
         listed: Set<MachineName>,
         machines: Collection<KnownMachine>,
     ): List<MachineName> =
         machines
-            .filter { it.name !in listed && it.sinceContact > inContactWithin }
-            .filter { listBegan >= it.provisionedBefore + listedWithin }
+            .filter { it.name !in listed && it.sinceAnyContact > inContactWithin }
+            .filter { listRequestedAt >= it.provisionedBefore + listedWithin }
             .map { it.name }
 
     private companion object {
-        /** The list lags by twice the nominal time at most. */
+        /** The list lags by at most this multiple of the lag in the settings. */
         const val MAX_LIST_LAGS = 2
 
-        /** Heartbeats get lost or come late; one that misses no more of them is in contact. */
-        const val HEARTBEATS_MISSED = 3
+        /** A machine that misses no more heartbeats than this is in contact, since heartbeats get lost or delayed. */
+        const val MAX_MISSED_HEARTBEATS = 3
     }
 }
--- a/src/main/kotlin/umberslip/recovery/ReconciliationFinding.kt
+++ b/src/main/kotlin/umberslip/recovery/ReconciliationFinding.kt
@@ -8,18 +8,18 @@
 import umberslip.scheduling.Machine
 import umberslip.scheduling.RunningJob
 
-/** What the leader does about a task, once it knows how the records and the machine's heartbeat compare. */
+/** The leader's action on a task, chosen by comparing the records with the machine's heartbeat. */
 enum class ReconciliationDecision {
-    /** It goes on running; no command is needed. */
+    /** The task continues to run; no command is needed. */
     CONTINUE,
 
-    /** Its exit is written, and only then is it cleared from the machine. */
+    /** The task's exit is recorded first. Only then is the task cleared from the machine. */
     RECORD_EXIT,
 
-    /** The start was recorded and did not arrive: the command is repeated under the same attempt number. */
+    /** The start is recorded, but the task is not on the machine: the command is repeated under the same attempt. */
     REPEAT_START,
 
-    /** It is certainly not on the machine and should not be: the recorded start is withdrawn. */
+    /** The task is certainly not on the machine and should not run: its recorded start is withdrawn. */
     WITHDRAW,
 
     STOP,
@@ -27,54 +27,57 @@
 }
 
 /**
- * How a new leader finds a task, by the records that it loaded and by the first heartbeat that shows what is on the
- * task's machine. Each finding has one decision. It is taken with the response to that heartbeat; before, the task
- * counts as running (see [RecoveryTracker.unreconciledMachines]).
+ * The state in which a new leader finds a task. It follows from the loaded records and from the first heartbeat that
+ * shows what is on the task's machine. Each finding has one decision, which is taken with the response to that
+ * heartbeat. Until then, the task counts as running (see [RecoveryTracker.unreconciledMachines]).
  *
- * [jsonName] is published in JSON and as a metric's tag, and stays when a constant is renamed.
+ * [jsonName] is published in JSON and as a metric tag, so it must not change when a constant is renamed.
  */
 enum class ReconciliationFinding(
     val decision: ReconciliationDecision,
     val jsonName: String,
 ) {
-    /** Recorded, and the machine has it under the recorded attempt. */
+    /** The task is recorded, and the machine has it under the recorded attempt. */
     ADOPTED(ReconciliationDecision.CONTINUE, "adopted"),
 
-    /** Recorded, and the machine reports that it exited; the records do not say so yet. */
+    /** The task is recorded, and the machine reports its exit, which is not recorded yet. */
     EXIT_UNRECORDED(ReconciliationDecision.RECORD_EXIT, "end_unrecorded"),
 
-    /** Recorded, and still on the machine though its job was cancelled. */
+    /** The task is recorded and still on the machine although its job was cancelled. */
     CANCELLED(ReconciliationDecision.STOP, "cancelled"),
 
-    /** Recorded, and not on the machine: the command to start it was lost, or a lease expiry stopped it. */
+    /** The task is recorded but not on the machine: its start command was lost, or a lease expiry stopped the task. */
     NOT_REPORTED(ReconciliationDecision.REPEAT_START, "not_reported"),
 
-    /** As [NOT_REPORTED], of a job that was cancelled. */
+    /** Like [NOT_REPORTED], but the task's job was cancelled. */
     NOT_REPORTED_CANCELLED(ReconciliationDecision.WITHDRAW, "not_reported_cancelled"),
 
-    /** On the machine though the records say that it is done. */
+    /** The task is on the machine although the records say that it is done. */
     DONE_RUNNING(ReconciliationDecision.STOP, "done_running"),
     DONE_EXITED(ReconciliationDecision.CLEAR, "done_ended"),
 
-    /** On the machine under an attempt that is not recorded there: another one is, or none. */
+    /** The task is on the machine under an attempt that is not recorded there: another attempt is, or none. */
     OTHER_ATTEMPT_RUNNING(ReconciliationDecision.STOP, "other_attempt_running"),
     OTHER_ATTEMPT_EXITED(ReconciliationDecision.CLEAR, "other_attempt_ended"),
 
-    /** Of a job without a record: it has finished and its outcome is stored elsewhere, or it was never accepted. */
+    /**
+     * The task is on the machine, but its job has no record: the job has finished and its outcome is stored elsewhere,
+     * or the job was never accepted.
+     */
     JOB_UNKNOWN_RUNNING(ReconciliationDecision.STOP, "job_unknown_running"),
     JOB_UNKNOWN_EXITED(ReconciliationDecision.CLEAR, "job_unknown_ended"),
     ;
 
     companion object {
-        /** One finding for each task that is recorded on [machine], or reported by it. Changes nothing. */
-        fun of(
+        /** Returns a finding for each task that is recorded on [machine] or reported by it. Changes no state. */
+        fun classify(
             machine: Machine,
             reported: List<ReportedTask>,
             jobs: Map<JobId, RunningJob>,
         ): Map<TaskId, ReconciliationFinding> {
             val findings = LinkedHashMap<TaskId, ReconciliationFinding>()
             for (task in reported) {
-                findings[task.task] = ofReported(task, recordedOn(machine, task.task), jobs[task.task.job])
+                findings[task.task] = classifyReported(task, findRecorded(machine, task.task), jobs[task.task.job])
             }
             for ((task, assignment) in machine.assignments) {
                 if (assignment.reserved || task in findings) continue
@@ -83,26 +86,26 @@
             return findings
         }
 
-        private fun recordedOn(
+        private fun findRecorded(
             machine: Machine,
             task: TaskId,
         ): Assignment? = machine.assignments[task]?.takeIf { !it.reserved }
 
-        private fun ofReported(
+        private fun classifyReported(
             reported: ReportedTask,
             recorded: Assignment?,
             job: RunningJob?,
         ): ReconciliationFinding {
             val hasExited = reported.status == TaskState.EXITED
             return when {
-                recorded != null && recorded.attempt == reported.attempt -> ofRecorded(recorded, hasExited)
+                recorded != null && recorded.attempt == reported.attempt -> classifyRecorded(recorded, hasExited)
                 job == null -> if (hasExited) JOB_UNKNOWN_EXITED else JOB_UNKNOWN_RUNNING
                 job.isDone(reported.task.index) -> if (hasExited) DONE_EXITED else DONE_RUNNING
                 else -> if (hasExited) OTHER_ATTEMPT_EXITED else OTHER_ATTEMPT_RUNNING
             }
         }
 
-        private fun ofRecorded(
+        private fun classifyRecorded(
             recorded: Assignment,
             hasExited: Boolean,
         ): ReconciliationFinding =
--- a/src/main/kotlin/umberslip/recovery/RecordedWork.kt
+++ b/src/main/kotlin/umberslip/recovery/RecordedWork.kt
@@ -16,44 +16,44 @@
 import java.time.Instant
 import kotlin.time.Duration
 
-/** Where a task's start is recorded, and under which attempt. */
+/** The machine and the attempt of a recorded start. */
 data class RecordedStart(
     val machineName: MachineName,
     val attempt: Long,
 )
 
-/** What a new leader would load at one moment from the records in the key-value store. */
+/** The work that a new leader would load from the records in the key-value store at one moment. */
 class RecordedWork(
-    /** The member that leads; null for none. */
+    /** The member that leads; null if there is none. */
     val leader: String?,
     val term: Term,
-    /** Jobs that have not finished, the [cancelled] ones included. */
+    /** Jobs that have not finished, including the [cancelledJobs]. */
     val jobs: Set<JobId>,
-    /** Cancelled jobs with tasks that are still to be stopped. */
-    val cancelled: Set<JobId>,
-    /** How many tasks of each job are recorded as done. */
+    /** Cancelled jobs with tasks that have yet to be stopped. */
+    val cancelledJobs: Set<JobId>,
+    /** The number of tasks recorded as done, by job. */
     val doneTasks: Map<JobId, Int>,
-    /** Tasks that count as running. */
+    /** The recorded starts of the tasks that count as running. */
     val starts: Map<TaskId, RecordedStart>,
-    /** Keys that are left alone since their records are unreadable. */
+    /** Keys of unreadable records, which the leader neither uses nor overwrites. */
     val unreadable: Set<String>,
 ) {
-    /** Jobs that are still to be run, or running. */
-    val unfinishedJobs: Int get() = jobs.size - cancelled.size
+    /** The number of unfinished jobs that are not cancelled. */
+    val unfinishedJobs: Int get() = jobs.size - cancelledJobs.size
 
-    /** How many machines have recorded tasks. */
+    /** The number of machines with recorded tasks. */
     val machinesWithTasks: Int get() = starts.values.mapTo(HashSet()) { it.machineName }.size
 
-    /** In lines, for people; operators' scripts may read them, too. */
+    /** Returns lines for people. Operators' scripts may read them, too. */
     fun toText(): List<String> =
         listOf(
             "records: owner ${leader ?: "nobody"}, term ${term.value}",
-            "  $unfinishedJobs unfinished jobs, ${cancelled.size} cancelled with tasks left",
+            "  $unfinishedJobs unfinished jobs, ${cancelledJobs.size} cancelled with tasks left",
             "  ${starts.size} started tasks on $machinesWithTasks machines",
         ) + unreadable.sorted().map { "  record $it cannot be read" }
 
     companion object {
-        /** Reads the records and changes nothing; takes as many requests as they have pages, and one more. */
+        /** Reads the records without changing them. Sends one request per page of records, and one more. */
         suspend fun read(
             store: KeyValueStore,
             settings: Settings,
@@ -65,7 +65,7 @@
             return of(replica, settings)
         }
 
-        /** Loaded as a new leader loads the records, so that both understand the same. */
+        /** Loads the records in the same way as a new leader, so that both interpret them alike. */
         fun of(
             replica: RecordReplica,
             settings: Settings,
@@ -84,7 +84,7 @@
                 leader = replica.leader?.value?.member,
                 term = term,
                 jobs = scheduler.jobs.keys.toSet(),
-                cancelled =
+                cancelledJobs =
                     scheduler.jobs.values
                         .filter { it.cancelled }
                         .mapTo(HashSet()) { it.spec.id },
--- a/src/main/kotlin/umberslip/recovery/RecoveryMetrics.kt
+++ b/src/main/kotlin/umberslip/recovery/RecoveryMetrics.kt
@@ -7,15 +7,15 @@
 import kotlin.time.DurationUnit
 
 /**
- * Publishes the recovery of the present term, as [current] gives it. A controller that does not lead shows term 0; a
- * time that has not come yet is not a number. The names are published: operators' dashboards and [ControllerMetrics]
- * read them.
+ * Publishes the recovery of the current term, which [currentSnapshot] returns, as metrics. The term is 0 while this
+ * controller does not lead, and a time that has not been reached yet is NaN. The names of the metrics must not change:
+ * operators' dashboards and [ControllerMetrics] read them.
  */
 class RecoveryMetrics(
     private val metrics: MeterRegistry,
-    private val current: () -> RecoverySnapshot?,
+    private val currentSnapshot: () -> RecoverySnapshot?,
 ) {
-    /** Registers the gauges, once. They read [current] whenever the metrics are scraped. */
+    /** Registers the gauges; to be called once. They call [currentSnapshot] whenever the metrics are scraped. */
     fun register() {
         gauge(TERM) { it.term.value.toDouble() }
         gauge(PHASE) { it.phase.ordinal.toDouble() }
@@ -29,7 +29,7 @@
         gauge(COMPLETED) { seconds(it.completedAfter) }
         for (finding in ReconciliationFinding.entries) {
             Gauge
-                .builder(FINDINGS) { (current()?.findings?.get(finding) ?: 0).toDouble() }
+                .builder(FINDINGS) { (currentSnapshot()?.findings?.get(finding) ?: 0).toDouble() }
                 .tag(FINDING_TAG, finding.jsonName)
                 .register(metrics)
         }
@@ -39,7 +39,7 @@
         name: String,
         value: (RecoverySnapshot) -> Double,
     ) {
-        metrics.publishGauge(name) { current()?.let(value) ?: 0.0 }
+        metrics.publishGauge(name) { currentSnapshot()?.let(value) ?: 0.0 }
     }
 
     private fun seconds(time: Duration?): Double = time?.toDouble(DurationUnit.SECONDS) ?: Double.NaN
@@ -56,7 +56,7 @@
         const val MOST_ACCOUNTED_FOR = "umberslip.recovery.most.accounted.seconds"
         const val COMPLETED = "umberslip.recovery.settled.seconds"
 
-        /** One gauge for each [ReconciliationFinding], told apart by [FINDING_TAG]. */
+        /** There is one gauge for each [ReconciliationFinding], identified by [FINDING_TAG]. */
         const val FINDINGS = "umberslip.recovery.findings"
         const val FINDING_TAG = "finding"
     }
--- a/src/main/kotlin/umberslip/recovery/RecoveryMonitor.kt
+++ b/src/main/kotlin/umberslip/recovery/RecoveryMonitor.kt
@@ -6,24 +6,27 @@
 import umberslip.scheduling.LeaderTermListener
 import kotlin.time.Duration
 
-/** Tracks the recovery of each term that this controller leads, and publishes that of the present one as metrics. */
+/**
+ * Tracks the recovery in each term in which this controller leads, and publishes the recovery of the current term as
+ * metrics.
+ */
 class RecoveryMonitor(
     private val clock: Clock,
     metrics: MeterRegistry,
 ) : LeaderTermListener {
     /** Null while this controller does not lead. */
-    private var current: RecoveryTracker? = null
+    private var currentTracker: RecoveryTracker? = null
 
     init {
-        RecoveryMetrics(metrics) { current?.snapshot(clock.now()) }.register()
+        RecoveryMetrics(metrics) { currentTracker?.snapshot(clock.now()) }.register()
     }
 
     override fun elected(
         term: Term,
         now: Duration,
-    ): RecoveryTracker = RecoveryTracker(term, now).also { current = it }
+    ): RecoveryTracker = RecoveryTracker(term, now).also { currentTracker = it }
 
     override fun steppedDown() {
-        current = null
+        currentTracker = null
     }
 }
--- a/src/main/kotlin/umberslip/recovery/RecoveryReport.kt
+++ b/src/main/kotlin/umberslip/recovery/RecoveryReport.kt
@@ -1,8 +1,8 @@
 package umberslip.recovery
 
 /**
- * What an operator learns of the recovery as a whole. [exitCode] says the same to a script; it and [jsonName] are
- * published and stay when a constant is renamed.
+ * The overall state of the recovery, as an operator sees it. [exitCode] tells scripts the same. Both [exitCode] and
+ * [jsonName] are published, so they must not change when a constant is renamed.
  */
 enum class RecoveryStatus(
     val exitCode: Int,
@@ -11,42 +11,42 @@
     /** The leader has accounted for every start that was recorded when it was elected. */
     COMPLETED(exitCode = 0, jsonName = "settled"),
 
-    /** The leader still waits for machines. */
+    /** The leader has not accounted for all of these starts yet, and still waits for machines. */
     RECOVERING(exitCode = 3, jsonName = "recovering"),
 
-    /** The records name no leader: nothing is started until a controller is elected. */
+    /** The records name no leader: no tasks are started until a controller is elected. */
     NO_LEADER(exitCode = 4, jsonName = "no_owner"),
 
-    /** The records name a leader that was not asked, does not respond, or does not track its recovery. */
+    /** The records name a leader that was not queried, does not respond, or does not track its recovery. */
     LEADER_UNRESPONSIVE(exitCode = 5, jsonName = "owner_not_heard"),
 
-    /** Neither the records nor a leader could be read. */
+    /** Neither the records nor a leader's metrics could be read. */
     UNKNOWN(exitCode = 6, jsonName = "unknown"),
 }
 
-/** The records as read, or why they could not be. */
+/** The records in the key-value store, or the reason why they could not be read. */
 sealed interface RecordsAnswer {
-    /** They were read, as a new leader would load them. */
+    /** The records were read; [work] is what a new leader would load. */
     data class Read(
         val work: RecordedWork,
     ) : RecordsAnswer
 
-    /** The key-value store did not serve them. */
+    /** The key-value store did not serve the records. */
     data class Unreadable(
         val reason: String,
     ) : RecordsAnswer
 }
 
-/** The answers of the key-value store and of the controllers side by side, and the [status] that follows from them. */
+/** The answers of the key-value store and of the controllers, and the [status] that follows from both. */
 class RecoveryReport(
     val records: RecordsAnswer,
     val controllers: List<ControllerAnswer>,
 ) {
-    /** What follows from the answer with the highest term. */
-    val status: RecoveryStatus = status()
+    /** The status according to the answer with the highest term. */
+    val status: RecoveryStatus = determineStatus()
 
-    private fun status(): RecoveryStatus {
-        // Of several that say they lead, one has not yet noticed its successor: the highest term counts.
+    private fun determineStatus(): RecoveryStatus {
+        // A leader that has not noticed its successor yet still reports that it leads, so the highest term counts.
         val leader = controllers.filterIsInstance<ControllerAnswer.Leader>().maxByOrNull { it.snapshot.term }
         if (leader != null && !isSuperseded(leader)) {
             val isCompleted = leader.snapshot.phase == RecoveryPhase.COMPLETED
--- a/src/main/kotlin/umberslip/recovery/RecoveryReportJson.kt
+++ b/src/main/kotlin/umberslip/recovery/RecoveryReportJson.kt
@@ -4,14 +4,14 @@
 import kotlin.time.Duration
 import kotlin.time.DurationUnit
 
-/** A [RecoveryReport] as JSON for programs, as `recovery.schema.json` describes it. */
+/** Renders a [RecoveryReport] as JSON for programs. `recovery.schema.json` describes the format. */
 object RecoveryReportJson {
-    /** Rises when a field changes its meaning or is removed; new fields may come at any time. */
+    /** Incremented when a field changes its meaning or is removed. New fields may be added under the same version. */
     const val FORMAT_VERSION = 1
 
     private const val SCHEMA_RESOURCE = "/umberslip/recovery/recovery.schema.json"
 
-    /** The report as one JSON document. */
+    /** Returns the report as one JSON document. */
     fun render(report: RecoveryReport): String =
         Documents.writeJson(
             mapOf(
@@ -22,7 +22,7 @@
             ),
         )
 
-    /** The JSON Schema of what [render] writes. */
+    /** Returns the JSON Schema of the documents that [render] returns. */
     fun schema(): String =
         requireNotNull(RecoveryReportJson::class.java.getResource(SCHEMA_RESOURCE)) { "$SCHEMA_RESOURCE is missing" }
             .readText()
@@ -35,7 +35,7 @@
                     "owner" to records.work.leader,
                     "term" to records.work.term.value,
                     "unfinished_jobs" to records.work.unfinishedJobs,
-                    "cancelled_jobs" to records.work.cancelled.size,
+                    "cancelled_jobs" to records.work.cancelledJobs.size,
                     "started_tasks" to records.work.starts.size,
                     "machines_with_tasks" to records.work.machinesWithTasks,
                     "unreadable" to records.work.unreadable.sorted(),
--- a/src/main/kotlin/umberslip/recovery/RecoveryReportText.kt
+++ b/src/main/kotlin/umberslip/recovery/RecoveryReportText.kt
@@ -3,9 +3,9 @@
 import kotlin.time.Duration
 import kotlin.time.DurationUnit
 
-/** A [RecoveryReport] in lines for people. Its words are those of the operators' pages. */
+/** Renders a [RecoveryReport] as lines for people, in the terms of the operators' documentation. */
 object RecoveryReportText {
-    /** The lines, without a line end after the last one. */
+    /** Returns the lines, without a line break after the last one. */
     fun render(report: RecoveryReport): String =
         buildList {
             add("status: ${report.status.jsonName.replace('_', ' ')}")
--- a/src/main/kotlin/umberslip/recovery/RecoverySnapshot.kt
+++ b/src/main/kotlin/umberslip/recovery/RecoverySnapshot.kt
@@ -4,41 +4,45 @@
 import kotlin.time.Duration
 
 /**
- * How far a new leader has come with reconciling the records with what is on the machines. The order is published: a
- * metric has the ordinal. [jsonName] is published, too, and stays when a constant is renamed.
+ * The progress of a new leader in reconciling the records with what is on the machines. The order of the constants is
+ * published, since a metric has the ordinal. [jsonName] is published, too, and must not change when a constant is
+ * renamed.
  */
 enum class RecoveryPhase(
     val jsonName: String,
 ) {
-    /** No machine with recorded tasks has sent a heartbeat yet. */
+    /** No machine has been reconciled yet, and some have recorded tasks. */
     WAITING("waiting"),
 
-    /** Some have; the others are still to be reconciled or to be given up. */
+    /** Some machines have been reconciled; others with recorded tasks are neither reconciled nor lost yet. */
     ADOPTING("adopting"),
 
     /** Every recorded start is accounted for. */
     COMPLETED("settled"),
 }
 
-/** A recovery at one moment, as operators see it. Times are counted from the election of the leader. */
+/** The state of a recovery at one moment, as operators see it. Times count from the election of the leader. */
 data class RecoverySnapshot(
     val term: Term,
     val phase: RecoveryPhase,
     val elapsed: Duration,
-    /** Started tasks in the records that the leader loaded. */
+    /** The number of started tasks in the records that the leader loaded. */
     val recordedTasks: Int,
-    /** Machines with recorded tasks that are neither reconciled nor given up. */
+    /** The number of machines with recorded tasks that are neither reconciled nor lost. */
     val unreconciledMachines: Int,
-    /** Tasks recorded on unreconciled machines: they count as running until these are certainly terminated. */
+    /**
+     * The number of tasks recorded on unreconciled machines. They count as running until their machine is reconciled or
+     * certainly runs nothing any more.
+     */
     val unreconciledTasks: Int,
-    /** Tasks recorded on machines that were given up: they wait to be started again. */
+    /** The number of tasks recorded on machines that were lost before they were reconciled. They are requeued. */
     val lostTasks: Int,
-    /** How many tasks were found in which way; findings without tasks are left out. */
+    /** The number of tasks with each finding; findings without tasks are omitted. */
     val findings: Map<ReconciliationFinding, Int>,
-    /** When the first recorded task was found running; null before that. */
+    /** The time until the first recorded task was found running; null before that. */
     val firstAdoptionAfter: Duration?,
-    /** When nine tenths of the recorded tasks were reconciled or lost; null before that. */
+    /** The time until nine tenths of the recorded tasks were reconciled or lost; null before that. */
     val mostAccountedForAfter: Duration?,
-    /** When the recovery was completed; null before that. */
+    /** The time until the recovery was completed; null before that. */
     val completedAfter: Duration?,
 )
--- a/src/main/kotlin/umberslip/recovery/RecoveryTracker.kt
+++ b/src/main/kotlin/umberslip/recovery/RecoveryTracker.kt
@@ -12,9 +12,9 @@
 import kotlin.time.Duration
 
 /**
- * Follows the recovery of one term, which began at [electedAt]: which machines with recorded tasks are still
- * unreconciled, and what was found on the others. It decides nothing and has one entry for each unreconciled machine
- * at most. Pure: time is an input.
+ * Tracks the recovery of one term, which began at [electedAt]: the machines with recorded tasks that are still
+ * unreconciled, and the findings on the others. It makes no decisions and stores one entry for each unreconciled
+ * machine at most. Pure: time is an input.
  */
 class RecoveryTracker(
     private val term: Term,
@@ -22,8 +22,8 @@
 ) : ReconciliationObserver {
     private val log = LoggerFactory.getLogger("umberslip.recovery")
 
-    /** How many starts are recorded on each unreconciled machine. */
-    private val unreconciled = HashMap<MachineName, Int>()
+    /** The number of recorded starts on each unreconciled machine. */
+    private val unreconciledStarts = HashMap<MachineName, Int>()
     private val findings = EnumMap<ReconciliationFinding, Int>(ReconciliationFinding::class.java)
     private var recordedTasks = 0
     private var unreconciledTasks = 0
@@ -33,14 +33,14 @@
     private var mostAccountedForAt: Duration? = null
     private var completedAt: Duration? = null
 
-    /** Machines with recorded tasks whose first heartbeat of this term is still to come. */
-    val unreconciledMachines: Set<MachineName> get() = unreconciled.keys
+    /** Machines with recorded tasks that are neither reconciled in this term nor lost. */
+    val unreconciledMachines: Set<MachineName> get() = unreconciledStarts.keys
 
     override fun recordsLoaded(
         recordedTasks: Map<MachineName, Int>,
         now: Duration,
     ) {
-        unreconciled.putAll(recordedTasks)
+        unreconciledStarts.putAll(recordedTasks)
         this.recordedTasks = recordedTasks.values.sum()
         unreconciledTasks = this.recordedTasks
         updateProgress(now)
@@ -51,16 +51,16 @@
         reported: List<ReportedTask>,
         jobs: Map<JobId, RunningJob>,
         now: Duration,
-    ) = reconciled(machine.name, ReconciliationFinding.of(machine, reported, jobs).values, now)
+    ) = reconciled(machine.name, ReconciliationFinding.classify(machine, reported, jobs).values, now)
 
-    /** A heartbeat has shown, for the first time in this term, what is on [machineName]. */
+    /** The first heartbeat of this term that shows what is on [machineName] led to the findings [found]. */
     fun reconciled(
         machineName: MachineName,
         found: Collection<ReconciliationFinding>,
         now: Duration,
     ) {
         for (finding in found) findings.merge(finding, 1, Int::plus)
-        unreconciledTasks -= unreconciled.remove(machineName) ?: 0
+        unreconciledTasks -= unreconciledStarts.remove(machineName) ?: 0
         anyReconciled = true
         if (firstAdoptionAt == null && ReconciliationFinding.ADOPTED in found) firstAdoptionAt = now
         updateProgress(now)
@@ -70,17 +70,17 @@
         name: MachineName,
         now: Duration,
     ) {
-        val tasks = unreconciled.remove(name) ?: return
+        val tasks = unreconciledStarts.remove(name) ?: return
         unreconciledTasks -= tasks
         lostTasks += tasks
         updateProgress(now)
     }
 
     private fun updateProgress(now: Duration) {
-        if (mostAccountedForAt == null && (recordedTasks - unreconciledTasks) >= recordedTasks * MOST) {
+        if (mostAccountedForAt == null && (recordedTasks - unreconciledTasks) >= recordedTasks * MOST_TASKS_SHARE) {
             mostAccountedForAt = now
         }
-        if (completedAt != null || unreconciled.isNotEmpty()) return
+        if (completedAt != null || unreconciledStarts.isNotEmpty()) return
         completedAt = now
         log.info(
             "recovery completed: term={} after={} recorded_tasks={} lost_tasks={} findings={}",
@@ -92,14 +92,14 @@
         )
     }
 
-    /** The state at [now], which does not change with the tracker. */
+    /** Returns the state at [now]. Later changes to the tracker do not affect the snapshot. */
     fun snapshot(now: Duration) =
         RecoverySnapshot(
             term = term,
-            phase = phase(),
+            phase = currentPhase(),
             elapsed = now - electedAt,
             recordedTasks = recordedTasks,
-            unreconciledMachines = unreconciled.size,
+            unreconciledMachines = unreconciledStarts.size,
             unreconciledTasks = unreconciledTasks,
             lostTasks = lostTasks,
             findings = EnumMap(findings),
@@ -108,7 +108,7 @@
             completedAfter = completedAt?.minus(electedAt),
         )
 
-    private fun phase(): RecoveryPhase =
+    private fun currentPhase(): RecoveryPhase =
         when {
             completedAt != null -> RecoveryPhase.COMPLETED
             anyReconciled -> RecoveryPhase.ADOPTING
@@ -117,6 +117,6 @@
 
     private companion object {
         /** The share of the recorded tasks that counts as most of them. */
-        const val MOST = 0.9
+        const val MOST_TASKS_SHARE = 0.9
     }
 }
--- a/src/main/kotlin/umberslip/recovery/archive/ArchiveException.kt
+++ b/src/main/kotlin/umberslip/recovery/archive/ArchiveException.kt
@@ -1,25 +1,28 @@
 package umberslip.recovery.archive
 
-/** Why a file is not read as an archive; the message says it in one line. No part of such a file is used. */
+/**
+ * Thrown if a file cannot be read as an archive. The message gives the reason in one line. No part of such a file is
+ * used.
+ */
 sealed class ArchiveException(
     message: String,
 ) : Exception(message) {
-    /** It is some other file. */
+    /** The file is of another kind. */
     class NotAnArchive(
         reason: String,
     ) : ArchiveException("not an archive of records: $reason")
 
-    /** It was written by a later version in a way that this one would misunderstand. */
+    /** The file was written by a later version in a format that this version would misread. */
     class UnsupportedVersion(
         version: Long,
-    ) : ArchiveException("an archive of version $version; this program reads version ${ArchiveHeader.VERSION}")
+    ) : ArchiveException("unsupported archive version $version; this program reads version ${ArchiveHeader.VERSION}")
 
-    /** It ends before its footer: it was being written, or copied, when something failed. */
+    /** The file ends before its footer: a failure interrupted writing or copying it. */
     class Incomplete(
         reason: String,
     ) : ArchiveException("the archive is incomplete: $reason")
 
-    /** Its contents are not what was written. */
+    /** The file's contents differ from what was written. */
     class Corrupt(
         reason: String,
     ) : ArchiveException("the archive is damaged: $reason")
--- a/src/main/kotlin/umberslip/recovery/archive/ArchiveFile.kt
+++ b/src/main/kotlin/umberslip/recovery/archive/ArchiveFile.kt
@@ -22,20 +22,20 @@
 import java.util.HexFormat
 
 /**
- * Archives as files: JSON Lines compressed with Zstandard, so that `zstdcat` and `jq` read them, too. The first line is
- * the header, one line for each record follows, and the last line is a footer with the number of records and the
- * SHA-256 of all lines before it.
+ * Writes and reads archives as files of JSON Lines that are compressed with Zstandard, so that `zstdcat` and `jq` can
+ * read them, too. The first line is the header and is followed by one line for each record. The last line is a footer
+ * with the number of records and the SHA-256 of all lines before it.
  */
 object ArchiveFile {
-    /** Archives are small and rare: size counts more than time. */
+    /** Archives are small and written rarely, so the file size matters more than the time. */
     private const val COMPRESSION_LEVEL = 9
 
     private const val RECORDS = "records"
     private const val CHECKSUM = "sha256"
 
     /**
-     * Writes [archive], replacing a [file] of that name. It is there whole or not at all: it is written under another
-     * name first. Throws [IOException].
+     * Writes [archive] to [file] and replaces an existing file. The new file appears complete or not at all, since it
+     * is written under another name first. Throws [IOException].
      */
     fun write(
         archive: RecordArchive,
@@ -44,13 +44,13 @@
         val unfinished = file.resolveSibling("${file.fileName}.unfinished")
         try {
             writeLines(archive, unfinished)
-            moveInPlace(unfinished, file)
+            replaceFile(unfinished, file)
         } finally {
             Files.deleteIfExists(unfinished)
         }
     }
 
-    private fun moveInPlace(
+    private fun replaceFile(
         from: Path,
         to: Path,
     ) {
@@ -70,22 +70,22 @@
         BufferedWriter(compressed.writer(StandardCharsets.UTF_8)).use { out ->
             fun writeLine(line: Map<String, Any?>) {
                 val text = Documents.writeJson(line)
-                checksum.add(text)
+                checksum.addLine(text)
                 out.write(text)
                 out.write("\n")
             }
             writeLine(archive.header.toMap())
-            archive.entries.forEach { writeLine(ArchiveLine.of(it)) }
-            val sum = checksum.text()
-            writeLine(mapOf(RECORDS to archive.entries.size, CHECKSUM to sum))
+            archive.entries.forEach { writeLine(ArchiveLine.toMap(it)) }
+            val hash = checksum.hex()
+            writeLine(mapOf(RECORDS to archive.entries.size, CHECKSUM to hash))
         }
     }
 
-    /** Reads and checks all of an archive. Throws [ArchiveException]; [IOException] where the file cannot be read. */
+    /** Reads and checks a whole archive. Throws [ArchiveException], or [IOException] if the file cannot be read. */
     fun read(file: Path): RecordArchive {
         val input = Files.newInputStream(file)
         return try {
-            // A decoder of its own refuses what is not UTF-8; a charset's would replace it.
+            // An explicit decoder rejects malformed UTF-8; a reader that is given a charset would replace it.
             val text = InputStreamReader(ZstdInputStream(input), StandardCharsets.UTF_8.newDecoder())
             BufferedReader(text).use(::readLines)
         } catch (_: EOFException) {
@@ -100,22 +100,22 @@
     private fun decompressionFailed(cause: ZstdIOException): ArchiveException =
         when {
             "Truncated" in cause.message.orEmpty() -> ArchiveException.Incomplete("the compressed data ends early")
-            "Unknown frame descriptor" in cause.message.orEmpty() -> ArchiveException.NotAnArchive("no Zstandard data")
+            "Unknown frame descriptor" in cause.message.orEmpty() -> ArchiveException.NotAnArchive("not Zstandard data")
             else -> ArchiveException.Corrupt(cause.message ?: "it cannot be decompressed")
         }
 
     private fun readLines(lines: BufferedReader): RecordArchive {
         val checksum = Checksum()
         val first = lines.readLine() ?: throw ArchiveException.Incomplete("it is empty")
-        val header = parse(first) { ArchiveHeader.parse(it) }
-        checksum.add(first)
+        val header = parseLine(first) { ArchiveHeader.parse(it) }
+        checksum.addLine(first)
         val entries = ArrayList<Entry>()
-        // A record is known as one once another line follows: the last line is the footer.
+        // A line is known to be a record only when another line follows, since the last line is the footer.
         var line = lines.readLine() ?: throw ArchiveException.Incomplete("it has no footer")
         while (true) {
             val next = lines.readLine() ?: break
-            entries += parse(line, ArchiveLine::parse)
-            checksum.add(line)
+            entries += parseLine(line, ArchiveLine::parse)
+            checksum.addLine(line)
             line = next
         }
         checkFooter(line, entries.size, checksum)
@@ -126,33 +126,33 @@
         line: String,
         records: Int,
         checksum: Checksum,
-    ) = parse(line) { footer ->
-        if (!footer.has(CHECKSUM)) throw ArchiveException.Incomplete("its last line is no footer")
+    ) = parseLine(line) { footer ->
+        if (!footer.has(CHECKSUM)) throw ArchiveException.Incomplete("its last line is not a footer")
         if (footer.long(RECORDS) != records.toLong()) {
-            throw ArchiveException.Corrupt("it has $records records and should have ${footer.long(RECORDS)}")
+            throw ArchiveException.Corrupt("it has $records records, but its footer says ${footer.long(RECORDS)}")
         }
-        if (footer.text(CHECKSUM) != checksum.text()) throw ArchiveException.Corrupt("its checksum differs")
+        if (footer.text(CHECKSUM) != checksum.hex()) throw ArchiveException.Corrupt("its checksum does not match")
     }
 
-    private fun <T> parse(
+    private fun <T> parseLine(
         line: String,
-        with: (Fields) -> T,
+        parseFields: (Fields) -> T,
     ): T =
         try {
-            with(Fields.of(Documents.readJson(line)))
+            parseFields(Fields.of(Documents.readJson(line)))
         } catch (e: MalformedMessageException) {
-            throw ArchiveException.Corrupt("a line cannot be read: ${e.message}")
+            throw ArchiveException.Corrupt("malformed line: ${e.message}")
         }
 
-    /** SHA-256 of lines, each with its end. */
+    /** The SHA-256 of lines, each including its line break. */
     private class Checksum {
         private val digest = MessageDigest.getInstance("SHA-256")
 
-        fun add(line: String) {
+        fun addLine(line: String) {
             digest.update(line.toByteArray())
             digest.update('\n'.code.toByte())
         }
 
-        fun text(): String = HexFormat.of().formatHex((digest.clone() as MessageDigest).digest())
+        fun hex(): String = HexFormat.of().formatHex((digest.clone() as MessageDigest).digest())
     }
 }
--- a/src/main/kotlin/umberslip/recovery/archive/RecordArchive.kt
+++ b/src/main/kotlin/umberslip/recovery/archive/RecordArchive.kt
@@ -8,13 +8,13 @@
 import java.time.Instant
 import java.time.format.DateTimeParseException
 
-/** When and from where an archive was taken. */
+/** The time at which an archive was taken, and the key-value store's revision then. */
 data class ArchiveHeader(
     val taken: Instant,
-    /** The key-value store's revision when the first record was read; later records may show later changes. */
+    /** The key-value store's revision when the first record was read. The other records may include later changes. */
     val revision: Long,
 ) {
-    /** The header as the first line of a file. */
+    /** Returns the fields of the file's first line. */
     fun toMap(): Map<String, Any?> =
         mapOf(
             FORMAT_FIELD to FORMAT,
@@ -26,7 +26,7 @@
     companion object {
         const val FORMAT = "umberslip-records"
 
-        /** Rises when older readers would misunderstand a file; new fields may come at any time. */
+        /** Incremented when older readers would misread a file. New fields may be added under the same version. */
         const val VERSION = 1L
 
         private const val FORMAT_FIELD = "format"
@@ -34,50 +34,50 @@
         private const val TAKEN_FIELD = "taken"
         private const val REVISION_FIELD = "revision"
 
-        /** Throws [ArchiveException], or [MalformedMessageException] for a field that is missing or wrong. */
+        /** Throws [ArchiveException], or [MalformedMessageException] if a field is missing or invalid. */
         fun parse(fields: Fields): ArchiveHeader {
-            if (fields.textOrNull(FORMAT_FIELD) != FORMAT) throw ArchiveException.NotAnArchive("its format is another")
+            if (fields.textOrNull(FORMAT_FIELD) != FORMAT) throw ArchiveException.NotAnArchive("its format differs")
             val version = fields.long(VERSION_FIELD)
             if (version != VERSION) throw ArchiveException.UnsupportedVersion(version)
             val taken =
                 try {
                     Instant.parse(fields.text(TAKEN_FIELD))
                 } catch (_: DateTimeParseException) {
-                    throw ArchiveException.Corrupt("its time cannot be read")
+                    throw ArchiveException.Corrupt("malformed time in its first line")
                 }
             return ArchiveHeader(taken, fields.long(REVISION_FIELD))
         }
     }
 }
 
-/** The records of the key-value store at one moment, as [ArchiveFile] reads and writes them. */
+/** The records of the key-value store at one moment, in the form that [ArchiveFile] reads and writes. */
 data class RecordArchive(
     val header: ArchiveHeader,
     val entries: List<Entry>,
 ) {
-    /** What a controller would have known that read these records. */
-    fun replica(): RecordReplica = RecordReplica().also { it.replace(entries) }
+    /** Returns the replica that a controller has after it read these records. */
+    fun toReplica(): RecordReplica = RecordReplica().also { it.replace(entries) }
 }
 
-/** A record as a line of an archive. */
+/** Converts records to and from the lines of an archive. */
 internal object ArchiveLine {
     private const val KEY = "path"
     private const val VERSION = "stamp"
     private const val DATA = "data"
 
-    /** The line, before it is written as JSON. */
-    fun of(entry: Entry): Map<String, Any?> =
+    /** Returns the fields of the line for [entry]. */
+    fun toMap(entry: Entry): Map<String, Any?> =
         mapOf(
             KEY to entry.key,
             VERSION to entry.version.value,
             DATA to entry.data,
         )
 
-    /** Throws [ArchiveException.Corrupt]. */
+    /** Throws [ArchiveException.Corrupt] if a field is missing or invalid. */
     fun parse(fields: Fields): Entry =
         try {
             Entry(fields.text(KEY), fields.raw()[DATA], Version(fields.long(VERSION)))
         } catch (e: MalformedMessageException) {
-            throw ArchiveException.Corrupt("a record cannot be read: ${e.message}")
+            throw ArchiveException.Corrupt("malformed record: ${e.message}")
         }
 }
--- a/src/main/kotlin/umberslip/toolbox/RecordsCommand.kt
+++ b/src/main/kotlin/umberslip/toolbox/RecordsCommand.kt
@@ -21,7 +21,10 @@
 import java.time.Instant
 import java.util.concurrent.Callable
 
-/** Archives the records of the key-value store at one moment, and compares two such archives. Writes nothing there. */
+/**
+ * Archives the records of the key-value store at one moment, and compares two such archives. Writes nothing to the
+ * key-value store.
+ */
 @Command(
     name = "records",
     mixinStandardHelpOptions = true,
@@ -80,7 +83,7 @@
     override fun call(): Int {
         val (settings, _) = load()
         val archive = ArchiveFile.read(file)
-        val work = RecordedWork.of(archive.replica(), settings)
+        val work = RecordedWork.of(archive.toReplica(), settings)
         spec.commandLine().out.run {
             println("$file: taken ${archive.header.taken} at revision ${archive.header.revision}")
             work.toText().forEach(::println)
@@ -112,21 +115,21 @@
 
     override fun call(): Int {
         val (settings, _) = load()
-        val comparison = RecordComparison(work(before, settings), work(after, settings))
+        val comparison = RecordComparison(readWork(before, settings), readWork(after, settings))
         spec.commandLine().out.run {
             println(if (json) comparison.toJson() else comparison.toText())
             flush()
         }
-        return if (comparison.lostProgress.isEmpty()) 0 else LOST_PROGRESS
+        return if (comparison.lostProgress.isEmpty()) 0 else LOST_PROGRESS_EXIT_CODE
     }
 
-    private fun work(
+    private fun readWork(
         file: Path,
         settings: Settings,
-    ) = RecordedWork.of(ArchiveFile.read(file).replica(), settings)
+    ) = RecordedWork.of(ArchiveFile.read(file).toReplica(), settings)
 
     private companion object {
-        /** Exit code where the later archive knows of fewer tasks done. */
-        const val LOST_PROGRESS = 3
+        /** The exit code if a job has fewer tasks recorded as done in the later archive. */
+        const val LOST_PROGRESS_EXIT_CODE = 3
     }
 }
--- a/src/main/kotlin/umberslip/toolbox/Toolbox.kt
+++ b/src/main/kotlin/umberslip/toolbox/Toolbox.kt
@@ -9,7 +9,7 @@
 import java.util.concurrent.Callable
 import kotlin.system.exitProcess
 
-/** Operators' tools that need libraries which the daemon does not carry; run from a class path of their own. */
+/** Operators' tools that need libraries which the daemon does not include. They run from a class path of their own. */
 @Command(
     name = "umberslip-toolbox",
     mixinStandardHelpOptions = true,
@@ -23,12 +23,15 @@
     }
 
     companion object {
-        /** What the operator can mend is said in one line and ends with code 1; anything else is a defect. */
+        /**
+         * Returns the command line. It reports errors that the operator can fix in one line and exits with code 1. It
+         * rethrows any other exception, which is a defect.
+         */
         fun commandLine(): CommandLine =
-            CommandLine(Toolbox()).setExecutionExceptionHandler { e, line, _ ->
+            CommandLine(Toolbox()).setExecutionExceptionHandler { e, commandLine, _ ->
                 if (e !is InvalidSettingsException && e !is ArchiveException && e !is IOException) throw e
-                line.err.println("umberslip-toolbox: ${e.message}")
-                line.err.flush()
+                commandLine.err.println("umberslip-toolbox: ${e.message}")
+                commandLine.err.flush()
                 CommandLine.ExitCode.SOFTWARE
             }
     }
--- a/src/test/kotlin/umberslip/recovery/ReconciliationFindingTest.kt
+++ b/src/test/kotlin/umberslip/recovery/ReconciliationFindingTest.kt
@@ -53,7 +53,7 @@
         next.heartbeat("m", fencingToken = former.term, sequenceNumber = 50)
         val before = next.scheduler.jobs.mapValues { (_, job) -> job.doneCount }
         val machine = next.scheduler.machines.getValue(MachineName("m"))
-        val findings = ReconciliationFinding.of(machine, reported, next.scheduler.jobs)
+        val findings = ReconciliationFinding.classify(machine, reported, next.scheduler.jobs)
         next.heartbeat("m", *reported.toTypedArray(), sequenceNumber = 51)
         check(next, reported, findings, before)
     }
--- a/src/test/kotlin/umberslip/recovery/RecoveryReportTest.kt
+++ b/src/test/kotlin/umberslip/recovery/RecoveryReportTest.kt
@@ -55,7 +55,7 @@
             leader,
             Term(term),
             jobs = List(5) { JobId("run-$it") }.toSet(),
-            cancelled = setOf(JobId("run-0")),
+            cancelledJobs = setOf(JobId("run-0")),
             doneTasks = emptyMap(),
             starts = List(30) { TaskId(JobId("run-1"), it) to RecordedStart(MachineName("m${it % 7}"), 1) }.toMap(),
             unreadable = setOf("u/job/run-1"),
@@ -97,7 +97,7 @@
     @Test
     fun `a controller that cannot be reached is named with the reason`() {
         val port = ServerSocket(0).use { it.localPort }
-        val answer = ControllerMetrics().ask(InetSocketAddress("127.0.0.1", port))
+        val answer = ControllerMetrics().query(InetSocketAddress("127.0.0.1", port))
         assertTrue(answer is ControllerAnswer.Unreachable, "$answer")
     }
 
