--- a/src/main/kotlin/umberslip/cli/RecoveryCommand.kt
+++ b/src/main/kotlin/umberslip/cli/RecoveryCommand.kt
@@ -53,7 +53,7 @@
     override fun call(): Int {
         val out = spec.commandLine().out
         val (settings, _) = load()
-        val addresses = if (controllers.isEmpty()) listOf(settings.bind) else controllers.map(Settings::address)
+        val addresses = if (controllers.isEmpty()) listOf(settings.bind) else controllers.map(Settings::parseAddress)
         val report = RecoveryReport(readRecords(settings), ControllerMetrics().let { addresses.map(it::query) })
         out.println(if (json) RecoveryReportJson.render(report) else RecoveryReportText.render(report))
         out.flush()
--- a/src/main/kotlin/umberslip/recovery/MissingMachines.kt
+++ b/src/main/kotlin/umberslip/recovery/MissingMachines.kt
@@ -6,7 +6,7 @@
 import kotlin.time.Duration
 
 /**
- * A machine that the leader knows. [provisionedBefore] is a time on the monotonic clock at which it was certainly
+ * A machine that the leader knows. [provisionedBefore] is a time on the monotonic clock by which it was certainly
  * provisioned; [sinceAnyContact] is the time since its last contact with any controller.
  */
 class KnownMachine(
--- a/src/main/kotlin/umberslip/recovery/ReconciliationFinding.kt
+++ b/src/main/kotlin/umberslip/recovery/ReconciliationFinding.kt
@@ -56,7 +56,7 @@
     DONE_RUNNING(ReconciliationDecision.STOP, "done_running"),
     DONE_EXITED(ReconciliationDecision.CLEAR, "done_ended"),
 
-    /** The task is on the machine under an attempt that is not recorded there: another attempt is, or none. */
+    /** The task is on the machine under an attempt that is not recorded there: another attempt is recorded, or none. */
     OTHER_ATTEMPT_RUNNING(ReconciliationDecision.STOP, "other_attempt_running"),
     OTHER_ATTEMPT_EXITED(ReconciliationDecision.CLEAR, "other_attempt_ended"),
 
--- a/src/main/kotlin/umberslip/settings/Settings.kt
+++ b/src/main/kotlin/umberslip/settings/Settings.kt
@@ -3,20 +3,20 @@
 import java.net.InetSocketAddress
 import kotlin.time.Duration
 
-/** A setting is missing or invalid; the message names it. */
+/** Thrown if a setting is missing or invalid. The message names the setting. */
 class InvalidSettingsException(
     message: String,
 ) : Exception(message)
 
-/** Another controller, and where it listens for its peers. */
+/** Another controller. [address] is where it listens for its peers. */
 data class Peer(
     val member: String,
-    /** The zone that it runs in. */
+    /** The zone in which the controller runs. */
     val zone: String,
     val address: InetSocketAddress,
 )
 
-/** A team's guaranteed quota and its quota limit, which is null where there is none (0 in the file). */
+/** A team's guaranteed quota and its quota limit. A limit is null if there is none, which is 0 in the file. */
 data class TeamSettings(
     val name: String,
     val cpus: Double,
@@ -26,8 +26,8 @@
 )
 
 /**
- * A service-level objective. Deadlines count from a job's submission, other times from when nothing keeps it from
- * running any more.
+ * A service-level objective. Deadlines count from the submission of a job. Other times count from the moment when
+ * nothing prevents the job from running any more.
  */
 sealed interface Objective {
     /** Jobs of the class finish within this time. */
@@ -42,7 +42,7 @@
         val factor: Double,
     ) : Objective
 
-    /** A share of the tasks of such jobs starts within this time. */
+    /** A share of the tasks of the class's jobs starts within this time. */
     data class Started(
         val jobClass: String,
         val within: Duration,
@@ -54,79 +54,81 @@
     ) : Objective
 }
 
-/** The times that workers keep to. */
+/** The workers' intervals and time limits. */
 data class WorkerSettings(
     val heartbeatInterval: Duration,
-    /** A worker stops its tasks when no response renewed its lease for this long. */
+    /** A worker stops its tasks if no response has renewed its lease for this long. */
     val lease: Duration,
-    /** The assembly timeout: how long a gang's tasks wait until all of them run. */
+    /** How long the tasks of a gang wait for all of them to run. */
     val assemblyTimeout: Duration,
-    /** How long a gang's tasks take to notice that one of them disappeared. */
-    val gangPeer: Duration,
-    /** The most time from a cancellation's acknowledgement to the end of its last task. */
+    /** How long the tasks of a gang take to notice that one of them has disappeared. */
+    val gangLossDetection: Duration,
+    /** The maximum time from the acknowledgement of a job's cancellation to the end of its last task. */
     val cancel: Duration,
 )
 
 /**
- * The key-value store's limits. It may lower them without notice to those that the file announces: sizes keep to the
- * lower of both from the start, rates follow once the service enforces them.
+ * The limits of the key-value store. The service may lower them without notice to the limits that the file announces.
+ * Therefore the sizes here are the lower of both from the start, whereas the rates are lowered once the service
+ * enforces the announced ones.
  */
 data class StoreSettings(
-    /** Requests per second, from all controllers together. */
+    /** Requests per second, for all controllers together. */
     val rps: Double,
-    /** Puts and deletes per second, from all controllers together. */
+    /** Puts and deletes per second, for all controllers together. */
     val writeRps: Double,
     val valueBytes: Int,
-    /** The most puts and deletes of a transaction. */
+    /** The maximum number of puts and deletes in a transaction. */
     val transactionOps: Int,
-    /** The announced [rps], or the one in force where that is lower; the same holds for [nextWriteRps]. */
+    /** The announced [rps], or the one in force if that is lower. The same applies to [nextWriteRps]. */
     val nextRps: Double = rps,
     val nextWriteRps: Double = writeRps,
     /**
-     * The value size that decides how many tasks a progress block has. All versions must agree on that for ever, so it
-     * is the limit in force and never the announced one.
+     * The value size that determines how many tasks a progress block has. All versions must always agree on that
+     * number, so this is the limit in force and never the announced one.
      */
     val blockBytes: Int = valueBytes,
 )
 
-/** The platform's settings file, validated. */
+/** The validated contents of the platform's settings file. */
 data class Settings(
     /** This controller's name. */
     val member: String,
     val zone: String,
-    /** Where users and workers connect. */
+    /** The address to which users and workers connect. */
     val bind: InetSocketAddress,
     val peerListen: InetSocketAddress,
     /** The other controllers. */
     val peers: List<Peer>,
     val cloudAddress: InetSocketAddress,
     val storeAddress: InetSocketAddress,
-    /** The number of controllers, which share the key-value store's rate limit. */
+    /** The number of controllers that share the key-value store's rate limit. */
     val controllerCount: Int,
     val zones: List<String>,
     val teams: List<TeamSettings>,
     val objectives: List<Objective>,
     val workers: WorkerSettings,
     val storeLimits: StoreSettings,
-    /** The requests per second that the cloud allows. */
+    /** The number of requests per second that the cloud allows. */
     val cloudRps: Double,
-    /** How far the cloud's list of machines lags behind; sometimes by as much as twice that. */
+    /** The usual lag of the cloud's list of machines. Sometimes the list lags by as much as twice this time. */
     val listLag: Duration,
-    /** The most sockets that this process may have open. */
+    /** The maximum number of sockets that this process may have open. */
     val sockets: Int,
-    /** How far a wall clock may be from the true time. */
+    /** The maximum difference between a wall clock and the true time. */
     val skew: Duration,
 ) {
     companion object {
-        /** @throws InvalidSettingsException naming the setting that is missing or invalid */
+        /** @throws InvalidSettingsException if a setting is missing or invalid; the message names it */
         fun parse(json: String): Settings = SettingsParser.parse(json)
 
         /**
-         * The address written as `a.b.c.d:port`. Only numbers: there is no DNS where controllers run.
+         * Parses an address of the form `a.b.c.d:port`. Host names are not accepted, since there is no DNS where
+         * controllers run.
          *
-         * @throws InvalidSettingsException where [text] is something else
+         * @throws InvalidSettingsException if [text] has another form
          */
-        fun address(text: String): InetSocketAddress {
+        fun parseAddress(text: String): InetSocketAddress {
             val host = text.substringBeforeLast(':')
             val port = text.substringAfterLast(':', "").toIntOrNull()?.takeIf { it in 1..MAX_PORT }
             if (port == null || !IPV4.matches(host)) {
--- a/src/main/kotlin/umberslip/settings/SettingsParser.kt
+++ b/src/main/kotlin/umberslip/settings/SettingsParser.kt
@@ -36,7 +36,7 @@
     const val GANG_PEER_SECONDS = "gang_peer_s"
     const val CANCEL_SECONDS = "cancel_s"
 
-    // Where two settings are in the file, for messages about both.
+    // The full paths of two settings, for messages that name both.
     const val LEASE_PATH = "$SETTINGS.$WORKERS.$LEASE_SECONDS"
     const val CANCEL_PATH = "$SETTINGS.$WORKERS.$CANCEL_SECONDS"
 
@@ -63,68 +63,68 @@
     const val KIND_GUARANTEE = "guarantee"
 }
 
-/** Reads and validates the platform's settings file. Unknown settings are ignored: the platform may add some. */
+/** Reads and validates the platform's settings file. Ignores unknown settings, since the platform may add some. */
 internal object SettingsParser {
-    /** With fewer sockets, a controller's own connections would leave too few to users and workers. */
+    /** With fewer sockets, a controller's own connections would leave too few for users and workers. */
     private const val MIN_SOCKETS = 40
 
-    /** With fewer puts and deletes, what has to be written together would not fit into a transaction. */
+    /** With fewer puts and deletes, writes that have to be atomic would not fit into one transaction. */
     private const val MIN_TRANSACTION_OPS = 4
     private const val BYTES_PER_KB = 1024
 
     fun parse(json: String): Settings =
         try {
-            settings(Fields.of(Documents.readJson(json)))
+            parseSettings(Fields.of(Documents.readJson(json)))
         } catch (e: MalformedMessageException) {
             throw InvalidSettingsException(e.message ?: "malformed settings")
         }
 
-    private fun settings(file: Fields): Settings {
+    private fun parseSettings(file: Fields): Settings {
         val settings = file.map(SettingsKey.SETTINGS)
         val workers = settings.map(SettingsKey.WORKERS)
         val store = settings.map(SettingsKey.STORE)
         val cloud = settings.map(SettingsKey.CLOUD)
-        val teams = teams(settings)
+        val teams = parseTeams(settings)
         return Settings(
-            member = member(file),
+            member = parseMember(file),
             zone = file.text(SettingsKey.AREA),
-            bind = address(file, SettingsKey.BIND),
-            peerListen = address(file, SettingsKey.PEER_LISTEN),
-            peers = file.maps(SettingsKey.KNOWN).map(::peer),
-            cloudAddress = address(file.map(SettingsKey.ENDPOINTS), SettingsKey.CLOUD),
-            storeAddress = address(file.map(SettingsKey.ENDPOINTS), SettingsKey.STORE),
-            controllerCount = positive(settings, SettingsKey.NODES).toInt(),
-            zones = zones(settings),
+            bind = parseAddress(file, SettingsKey.BIND),
+            peerListen = parseAddress(file, SettingsKey.PEER_LISTEN),
+            peers = file.maps(SettingsKey.KNOWN).map(::parsePeer),
+            cloudAddress = parseAddress(file.map(SettingsKey.ENDPOINTS), SettingsKey.CLOUD),
+            storeAddress = parseAddress(file.map(SettingsKey.ENDPOINTS), SettingsKey.STORE),
+            controllerCount = positiveNumber(settings, SettingsKey.NODES).toInt(),
+            zones = parseZones(settings),
             teams = teams,
-            objectives = settings.mapsOrEmpty(SettingsKey.OBJECTIVES).mapNotNull(::objective),
-            workers = workers(workers),
-            storeLimits = storeLimits(store),
-            cloudRps = positive(cloud, SettingsKey.RPS),
-            listLag = seconds(cloud, SettingsKey.LIST_LAG_SECONDS),
-            sockets = sockets(settings.map(SettingsKey.QUOTA)),
+            objectives = settings.mapsOrEmpty(SettingsKey.OBJECTIVES).mapNotNull(::parseObjective),
+            workers = parseWorkers(workers),
+            storeLimits = parseStoreLimits(store),
+            cloudRps = positiveNumber(cloud, SettingsKey.RPS),
+            listLag = duration(cloud, SettingsKey.LIST_LAG_SECONDS),
+            sockets = parseSockets(settings.map(SettingsKey.QUOTA)),
             skew = (settings.numberOrNull(SettingsKey.SKEW_MILLIS) ?: 0.0).milliseconds,
         )
     }
 
-    private fun member(file: Fields): String {
+    private fun parseMember(file: Fields): String {
         val member = file.text(SettingsKey.MEMBER)
         if (member.isEmpty()) throw InvalidSettingsException("${SettingsKey.MEMBER} is empty")
         return member
     }
 
-    private fun peer(fields: Fields) =
+    private fun parsePeer(fields: Fields) =
         Peer(
             member = fields.text(SettingsKey.MEMBER),
             zone = fields.text(SettingsKey.AREA),
-            address = address(fields, SettingsKey.ADDRESS),
+            address = parseAddress(fields, SettingsKey.ADDRESS),
         )
 
-    private fun zones(settings: Fields): List<String> =
+    private fun parseZones(settings: Fields): List<String> =
         settings.textsOrNull(SettingsKey.ZONES)
             ?: throw InvalidSettingsException("${settings.path(SettingsKey.ZONES)} is missing")
 
-    private fun teams(settings: Fields): List<TeamSettings> {
-        val teams = settings.maps(SettingsKey.TEAMS).map(::team)
+    private fun parseTeams(settings: Fields): List<TeamSettings> {
+        val teams = settings.maps(SettingsKey.TEAMS).map(::parseTeam)
         val path = settings.path(SettingsKey.TEAMS)
         if (teams.isEmpty()) throw InvalidSettingsException("$path is empty")
         val names = teams.mapTo(HashSet()) { it.name }
@@ -132,89 +132,89 @@
         return teams
     }
 
-    private fun team(fields: Fields) =
+    private fun parseTeam(fields: Fields) =
         TeamSettings(
             name = fields.text(SettingsKey.NAME),
-            cpus = notNegative(fields, SettingsKey.CPUS),
-            gpus = notNegative(fields, SettingsKey.GPUS),
-            cpusMax = notNegative(fields, SettingsKey.CPUS_MAX).takeIf { it > 0 },
-            gpusMax = notNegative(fields, SettingsKey.GPUS_MAX).takeIf { it > 0 },
+            cpus = nonNegativeNumber(fields, SettingsKey.CPUS),
+            gpus = nonNegativeNumber(fields, SettingsKey.GPUS),
+            cpusMax = nonNegativeNumber(fields, SettingsKey.CPUS_MAX).takeIf { it > 0 },
+            gpusMax = nonNegativeNumber(fields, SettingsKey.GPUS_MAX).takeIf { it > 0 },
         )
 
-    /** Null for kinds that this version does not know. */
-    private fun objective(fields: Fields): Objective? =
+    /** Returns null if this version does not know the kind. */
+    private fun parseObjective(fields: Fields): Objective? =
         when (fields.textOrNull(SettingsKey.KIND)) {
             SettingsKey.KIND_FINISHED -> {
-                Objective.Finished(fields.text(SettingsKey.JOB_CLASS), seconds(fields, SettingsKey.WITHIN_SECONDS))
+                Objective.Finished(fields.text(SettingsKey.JOB_CLASS), duration(fields, SettingsKey.WITHIN_SECONDS))
             }
             SettingsKey.KIND_DEADLINE -> {
                 Objective.Deadline(fields.text(SettingsKey.JOB_CLASS), fields.numberOrNull(SettingsKey.TIMES) ?: 1.0)
             }
             SettingsKey.KIND_STARTED -> {
-                Objective.Started(fields.text(SettingsKey.JOB_CLASS), seconds(fields, SettingsKey.WITHIN_SECONDS))
+                Objective.Started(fields.text(SettingsKey.JOB_CLASS), duration(fields, SettingsKey.WITHIN_SECONDS))
             }
-            SettingsKey.KIND_GUARANTEE -> Objective.Guarantee(seconds(fields, SettingsKey.WITHIN_SECONDS))
+            SettingsKey.KIND_GUARANTEE -> Objective.Guarantee(duration(fields, SettingsKey.WITHIN_SECONDS))
             else -> null
         }
 
-    private fun workers(fields: Fields) =
+    private fun parseWorkers(fields: Fields) =
         WorkerSettings(
-            heartbeatInterval = seconds(fields, SettingsKey.HEARTBEAT_INTERVAL_SECONDS),
-            lease = seconds(fields, SettingsKey.LEASE_SECONDS),
-            assemblyTimeout = seconds(fields, SettingsKey.GANG_WAIT_SECONDS),
-            gangPeer = seconds(fields, SettingsKey.GANG_PEER_SECONDS),
-            cancel = seconds(fields, SettingsKey.CANCEL_SECONDS),
+            heartbeatInterval = duration(fields, SettingsKey.HEARTBEAT_INTERVAL_SECONDS),
+            lease = duration(fields, SettingsKey.LEASE_SECONDS),
+            assemblyTimeout = duration(fields, SettingsKey.GANG_WAIT_SECONDS),
+            gangLossDetection = duration(fields, SettingsKey.GANG_PEER_SECONDS),
+            cancel = duration(fields, SettingsKey.CANCEL_SECONDS),
         )
 
-    private fun storeLimits(now: Fields): StoreSettings {
-        val next = if (now.has(SettingsKey.NEXT)) now.map(SettingsKey.NEXT) else null
+    private fun parseStoreLimits(current: Fields): StoreSettings {
+        val announced = if (current.has(SettingsKey.NEXT)) current.map(SettingsKey.NEXT) else null
         return StoreSettings(
-            rps = positive(now, SettingsKey.RPS),
-            writeRps = positive(now, SettingsKey.WRITE_RPS),
-            valueBytes = (lower(now, next, SettingsKey.VALUE_KB) * BYTES_PER_KB).toInt(),
-            transactionOps = transactionOps(now, next),
-            nextRps = lower(now, next, SettingsKey.RPS),
-            nextWriteRps = lower(now, next, SettingsKey.WRITE_RPS),
-            blockBytes = (positive(now, SettingsKey.VALUE_KB) * BYTES_PER_KB).toInt(),
+            rps = positiveNumber(current, SettingsKey.RPS),
+            writeRps = positiveNumber(current, SettingsKey.WRITE_RPS),
+            valueBytes = (lowerLimit(current, announced, SettingsKey.VALUE_KB) * BYTES_PER_KB).toInt(),
+            transactionOps = parseTransactionOps(current, announced),
+            nextRps = lowerLimit(current, announced, SettingsKey.RPS),
+            nextWriteRps = lowerLimit(current, announced, SettingsKey.WRITE_RPS),
+            blockBytes = (positiveNumber(current, SettingsKey.VALUE_KB) * BYTES_PER_KB).toInt(),
         )
     }
 
-    private fun transactionOps(
-        now: Fields,
-        next: Fields?,
+    private fun parseTransactionOps(
+        current: Fields,
+        announced: Fields?,
     ): Int {
-        val ops = lower(now, next, SettingsKey.TRANSACTION_OPS).toInt()
+        val ops = lowerLimit(current, announced, SettingsKey.TRANSACTION_OPS).toInt()
         if (ops < MIN_TRANSACTION_OPS) {
-            throw InvalidSettingsException("${now.path(SettingsKey.TRANSACTION_OPS)} is below $MIN_TRANSACTION_OPS")
+            throw InvalidSettingsException("${current.path(SettingsKey.TRANSACTION_OPS)} is below $MIN_TRANSACTION_OPS")
         }
         return ops
     }
 
-    /** The lower of the limit in force and the announced one, if there is one. */
-    private fun lower(
-        now: Fields,
-        next: Fields?,
+    /** Returns the lower of the limit in force and the announced one, or the limit in force if none is announced. */
+    private fun lowerLimit(
+        current: Fields,
+        announced: Fields?,
         name: String,
     ): Double {
-        val limit = positive(now, name)
-        if (next == null || !next.has(name)) return limit
-        return minOf(limit, positive(next, name))
+        val limit = positiveNumber(current, name)
+        if (announced == null || !announced.has(name)) return limit
+        return minOf(limit, positiveNumber(announced, name))
     }
 
-    private fun sockets(quota: Fields): Int {
-        val sockets = positive(quota, SettingsKey.SOCKETS).toInt()
+    private fun parseSockets(quota: Fields): Int {
+        val sockets = positiveNumber(quota, SettingsKey.SOCKETS).toInt()
         if (sockets < MIN_SOCKETS) {
             throw InvalidSettingsException("${quota.path(SettingsKey.SOCKETS)} is below $MIN_SOCKETS")
         }
         return sockets
     }
 
-    private fun seconds(
+    private fun duration(
         fields: Fields,
         name: String,
-    ): Duration = positive(fields, name).seconds
+    ): Duration = positiveNumber(fields, name).seconds
 
-    private fun positive(
+    private fun positiveNumber(
         fields: Fields,
         name: String,
     ): Double {
@@ -223,7 +223,7 @@
         return number
     }
 
-    private fun notNegative(
+    private fun nonNegativeNumber(
         fields: Fields,
         name: String,
     ): Double {
@@ -232,12 +232,12 @@
         return number
     }
 
-    private fun address(
+    private fun parseAddress(
         fields: Fields,
         name: String,
     ): InetSocketAddress =
         try {
-            Settings.address(fields.text(name))
+            Settings.parseAddress(fields.text(name))
         } catch (e: InvalidSettingsException) {
             throw InvalidSettingsException("${fields.path(name)}: ${e.message}")
         }
--- a/src/main/kotlin/umberslip/settings/Timings.kt
+++ b/src/main/kotlin/umberslip/settings/Timings.kt
@@ -3,14 +3,14 @@
 import kotlin.time.Duration
 
 /**
- * The times that safety rests on.
+ * The durations on which the safety of the protocol depends.
  *
- * A leader that can no longer renew its lease may go on renewing workers' leases for [grace], so that running work
- * survives a short outage of the key-value store. Meanwhile another controller may acknowledge a cancellation, which
- * takes effect at the latest once those leases have expired: [leaderLeaseDuration] + [grace] + [lease] + [margin] must
- * fit into the time that a cancellation has.
+ * A leader that can no longer renew its own lease may continue to renew workers' leases for [grace], so that running
+ * tasks survive a short outage of the key-value store. Meanwhile another controller may acknowledge a cancellation,
+ * which takes effect at the latest when those workers' leases have expired. Therefore [leaderLeaseDuration] + [grace] +
+ * [lease] + [margin] must not exceed the time allowed for a cancellation.
  *
- * @throws InvalidSettingsException where the settings leave no time for that
+ * @throws InvalidSettingsException if the settings leave no time for that
  */
 class Timings(
     workers: WorkerSettings,
@@ -18,10 +18,10 @@
 ) {
     val leaderLeaseDuration: Duration = tuning.leaderLeaseDuration
 
-    /** Allowed for clock drift and late timers wherever two clocks must agree on an expiry. */
+    /** The allowance for clock drift and late timers wherever two clocks must agree on an expiry. */
     val margin: Duration = tuning.margin
 
-    /** How long a worker's tasks go on without a response. */
+    /** How long a worker's tasks continue to run without a response. */
     val lease: Duration = workers.lease
     val grace: Duration = workers.cancel - workers.lease - leaderLeaseDuration - margin
 
@@ -30,7 +30,7 @@
         if (grace < Duration.ZERO) {
             throw InvalidSettingsException(
                 "$leaderLeaseKey is too long: " +
-                    "with ${SettingsKey.LEASE_PATH} it must fit into ${SettingsKey.CANCEL_PATH}",
+                    "together with ${SettingsKey.LEASE_PATH} it must fit into ${SettingsKey.CANCEL_PATH}",
             )
         }
         if (leaderLeaseDuration < margin * 2) {
@@ -38,11 +38,11 @@
         }
     }
 
-    /** A time on another machine's clock, as the most that may pass on this one's. */
-    fun withClockDrift(time: Duration): Duration = time * STRETCH
+    /** Returns the most time that may pass on this machine's clock while [time] passes on another machine's clock. */
+    fun withClockDrift(time: Duration): Duration = time * CLOCK_DRIFT_FACTOR
 
     private companion object {
-        /** Clocks drift apart by at most 0.05 %; twice that is allowed for. */
-        const val STRETCH = 1.001
+        /** Clocks drift apart by at most 0.05 %. The factor allows for twice that. */
+        const val CLOCK_DRIFT_FACTOR = 1.001
     }
 }
--- a/src/main/kotlin/umberslip/settings/TuningParser.kt
+++ b/src/main/kotlin/umberslip/settings/TuningParser.kt
@@ -7,7 +7,7 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** A key of the operators' settings file, by its section and its name there. */
+/** A key of the operators' settings file, with its section and its name in that section. */
 internal enum class TuningKey(
     val section: String,
     val key: String,
@@ -22,13 +22,13 @@
     RETURN_MISSING("recovery", "return_missing"),
     ;
 
-    /** As it is written in messages, and as the TOML library looks it up. */
+    /** The full path of the key, for messages and for lookups by the TOML library. */
     val path: String get() = "$section.$key"
 }
 
 /**
- * Reads and validates the operators' settings file (TOML). Unknown settings are errors: they are more likely misspelt
- * than meant for another version.
+ * Reads and validates the operators' settings file (TOML). Rejects unknown settings, since they are more likely
+ * misspelt than meant for another version.
  */
 internal object TuningParser {
     fun parse(toml: String): Tuning {
@@ -37,12 +37,12 @@
         val default = Tuning()
         return Tuning(
             leaderLeaseDuration =
-                number(config, TuningKey.LEADER_LEASE_SECONDS)?.seconds ?: default.leaderLeaseDuration,
-            margin = number(config, TuningKey.MARGIN_SECONDS)?.seconds ?: default.margin,
-            roundBudget = number(config, TuningKey.ROUND_BUDGET_MILLIS)?.milliseconds ?: default.roundBudget,
-            drain = number(config, TuningKey.DRAIN_SECONDS)?.seconds ?: default.drain,
-            boot = number(config, TuningKey.BOOT_SECONDS)?.seconds ?: default.boot,
-            idle = number(config, TuningKey.IDLE_SECONDS)?.seconds ?: default.idle,
+                positiveNumber(config, TuningKey.LEADER_LEASE_SECONDS)?.seconds ?: default.leaderLeaseDuration,
+            margin = positiveNumber(config, TuningKey.MARGIN_SECONDS)?.seconds ?: default.margin,
+            roundBudget = positiveNumber(config, TuningKey.ROUND_BUDGET_MILLIS)?.milliseconds ?: default.roundBudget,
+            drain = positiveNumber(config, TuningKey.DRAIN_SECONDS)?.seconds ?: default.drain,
+            boot = positiveNumber(config, TuningKey.BOOT_SECONDS)?.seconds ?: default.boot,
+            idle = positiveNumber(config, TuningKey.IDLE_SECONDS)?.seconds ?: default.idle,
             recovery =
                 RecoveryTuning(
                     track = flag(config, TuningKey.TRACK) ?: default.recovery.track,
@@ -59,16 +59,16 @@
         }
 
     private fun checkSection(section: UnmodifiableConfig.Entry) {
-        val known = TuningKey.entries.filter { it.section == section.key }.map { it.key }
-        if (known.isEmpty()) throw invalid("unknown section ${section.key}")
+        val knownKeys = TuningKey.entries.filter { it.section == section.key }.map { it.key }
+        if (knownKeys.isEmpty()) throw invalid("unknown section ${section.key}")
         val table = section.getRawValue<Any?>()
         if (table !is UnmodifiableConfig) throw invalid("${section.key} is not a section")
         for (entry in table.entrySet()) {
-            if (entry.key !in known) throw invalid("unknown ${section.key}.${entry.key}")
+            if (entry.key !in knownKeys) throw invalid("unknown setting ${section.key}.${entry.key}")
         }
     }
 
-    private fun number(
+    private fun positiveNumber(
         config: Config,
         key: TuningKey,
     ): Double? {
@@ -87,5 +87,5 @@
         return value as? Boolean ?: throw invalid("${key.path} is not true or false")
     }
 
-    private fun invalid(what: String?) = InvalidSettingsException("operators' settings: $what")
+    private fun invalid(reason: String?) = InvalidSettingsException("operators' settings: $reason")
 }
--- a/src/test/kotlin/umberslip/architecture/PackageDependenciesTest.kt
+++ b/src/test/kotlin/umberslip/architecture/PackageDependenciesTest.kt
@@ -8,9 +8,9 @@
 import kotlin.io.path.readLines
 import kotlin.io.path.walk
 
-/** Which package may import which. `docs/architecture.md` describes the same layout in words. */
+/** Checks which packages each package imports. `docs/architecture.md` describes the same layout. */
 class PackageDependenciesTest {
-    /** The packages that each package may use; in order, so that each uses earlier ones only. */
+    /** The packages that each package may import. They are ordered: each may import only packages listed before it. */
     private val allowed =
         linkedMapOf(
             "core" to emptySet(),
@@ -78,18 +78,18 @@
     private val imports: Map<String, Set<String>> = readImports()
 
     @Test
-    fun `every package is listed and imports no package that it may not`() {
+    fun `every package is listed and imports only the packages that it may import`() {
         assertEquals(allowed.keys, imports.keys)
-        for ((name, used) in imports) {
-            assertEquals(emptySet<String>(), used - allowed.getValue(name), "forbidden imports of $name")
+        for ((name, imported) in imports) {
+            assertEquals(emptySet<String>(), imported - allowed.getValue(name), "forbidden imports of $name")
         }
     }
 
     @Test
-    fun `no package depends on itself through others`() {
+    fun `no package depends on itself through other packages`() {
         val earlier = HashSet<String>()
-        for ((name, uses) in allowed) {
-            assertTrue(earlier.containsAll(uses), "$name may use later packages: ${uses - earlier}")
+        for ((name, imported) in allowed) {
+            assertTrue(earlier.containsAll(imported), "$name may import later packages: ${imported - earlier}")
             earlier += name
         }
     }
@@ -100,8 +100,8 @@
         for (source in sources) {
             val lines = source.readLines()
             val name = packageOf(lines.first { it.startsWith("package ") }.substringAfter(' '))
-            val used = lines.mapNotNull { IMPORT.find(it) }.map { packageOf(it.groupValues[1]) }
-            found.getOrPut(name) { HashSet() } += used.filter { it != name }
+            val imported = lines.mapNotNull { IMPORT.find(it) }.map { packageOf(it.groupValues[1]) }
+            found.getOrPut(name) { HashSet() } += imported.filter { it != name }
         }
         return found
     }
@@ -110,7 +110,8 @@
 
     private companion object {
         /**
-         * The package of an import; types and their members begin with capital letters, functions follow the package.
+         * Matches an import and captures its package. Types and their nested types begin with a capital letter;
+         * top-level functions directly follow the package.
          */
         val IMPORT = Regex("""^import (umberslip(?:\.[a-z][a-zA-Z]*)*)\.[A-Za-z]\w*(?:\.[A-Z]\w*)*$""")
     }
--- a/src/test/kotlin/umberslip/cli/CommandLineTest.kt
+++ b/src/test/kotlin/umberslip/cli/CommandLineTest.kt
@@ -11,7 +11,7 @@
 import java.nio.file.Files
 import java.nio.file.Path
 
-/** What somebody sees who starts the program for the first time. */
+/** The output and the exit codes that an operator sees when starting the program for the first time. */
 class CommandLineTest {
     private class Outcome(
         val exitCode: Int,
@@ -55,9 +55,9 @@
         assertEquals("umberslip: $config: settings.nodes must be above 0", outcome.err)
 
         val tuning = Files.writeString(folder.resolve("tuning.toml"), "[ownership]\nhold_s = 60.0\n")
-        val together = run("check", "--config", "$EXAMPLE", "--tuning", "$tuning")
-        assertEquals(1, together.exitCode)
-        assertTrue(together.err.startsWith("umberslip: $tuning: ownership.hold_s is too long"), together.err)
+        val outcomeOfBoth = run("check", "--config", "$EXAMPLE", "--tuning", "$tuning")
+        assertEquals(1, outcomeOfBoth.exitCode)
+        assertTrue(outcomeOfBoth.err.startsWith("umberslip: $tuning: ownership.hold_s is too long"), outcomeOfBoth.err)
     }
 
     @Test
--- a/src/test/kotlin/umberslip/documentation/DocumentationTest.kt
+++ b/src/test/kotlin/umberslip/documentation/DocumentationTest.kt
@@ -10,7 +10,7 @@
 import kotlin.io.path.readText
 import kotlin.io.path.walk
 
-/** Holds the pages for operators and newcomers to the code. */
+/** Checks that the documentation for operators and newcomers agrees with the code. */
 class DocumentationTest {
     private val sources: List<Path> =
         Path
@@ -21,10 +21,10 @@
 
     @Test
     fun `the operations page lists exactly the warnings and errors of the log`() {
-        val logged = sources.flatMap { LOGGED.findAll(it.readText()) }.map { it.groupValues[1].substringBefore(':') }
+        val logged = sources.flatMap { LOG_CALL.findAll(it.readText()) }.map { it.groupValues[1].substringBefore(':') }
         val page = Files.readString(Path.of("docs/operations.md"))
         val table = page.substringAfter("| message | meaning | what to do |").substringBefore("\n## ")
-        val listed = LISTED.findAll(table).map { it.groupValues[1] }.toList()
+        val listed = TABLE_ROW.findAll(table).map { it.groupValues[1] }.toList()
         assertTrue(logged.size > 10, "only ${logged.size} messages found")
         assertEquals(logged.toSortedSet(), listed.toSortedSet())
     }
@@ -32,7 +32,7 @@
     @Test
     fun `every source file that the architecture page names exists`() {
         val page = Files.readString(Path.of("docs/architecture.md"))
-        val named = SOURCE.findAll(page).map { it.groupValues[1] }.toSet()
+        val named = SOURCE_FILE.findAll(page).map { it.groupValues[1] }.toSet()
         assertTrue(named.size > 10, "only ${named.size} files named")
         val missing = named.filter { !Files.exists(Path.of("src/main/kotlin/umberslip", it)) }
         assertEquals(emptyList<String>(), missing)
@@ -45,8 +45,8 @@
     }
 
     private companion object {
-        val LOGGED = Regex("""(?:log|LOG)\.(?:warn|error)\(\s*"([^"]+)"""")
-        val LISTED = Regex("""(?m)^\| `([^`]+)` \|""")
-        val SOURCE = Regex("""`([a-z]+/\w+\.kt)`""")
+        val LOG_CALL = Regex("""(?:log|LOG)\.(?:warn|error)\(\s*"([^"]+)"""")
+        val TABLE_ROW = Regex("""(?m)^\| `([^`]+)` \|""")
+        val SOURCE_FILE = Regex("""`([a-z]+/\w+\.kt)`""")
     }
 }
--- a/src/test/kotlin/umberslip/recovery/GeneratedRestartsTest.kt
+++ b/src/test/kotlin/umberslip/recovery/GeneratedRestartsTest.kt
@@ -16,8 +16,8 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * All controllers stop, again and again, for a fraction of a second to well past every lease expiry, and meet other
- * failures while they restart. The protocol's rules are checked all the time, and in the end every job has finished.
+ * All controllers are stopped repeatedly, for a fraction of a second to well past every lease expiry, and are restarted
+ * while other failures occur. The protocol's rules are checked throughout, and in the end every job must have finished.
  */
 class GeneratedRestartsTest {
     private class Restarts(
@@ -32,20 +32,21 @@
                 Fixtures::settingsJson,
                 { Tuning(recovery = RecoveryTuning(track = true, returnMissing = true)) },
             )
-        private var number = 0
+        private var createdJobs = 0
 
-        fun pause(seconds: Int) =
+        /** Runs the cluster for [seconds] and submits a job in about every third of them. */
+        fun runAndSubmit(seconds: Int) =
             repeat(seconds) {
                 if (random.nextInt(3) == 0) {
-                    val job = Fixtures.job(random, number++)
-                    val longer = job.copy(expectedSeconds = job.expectedSeconds * 5, tasks = minOf(job.tasks, 8))
-                    cluster.submit(longer, null)
+                    val job = Fixtures.job(random, createdJobs++)
+                    val longerJob = job.copy(expectedSeconds = job.expectedSeconds * 5, tasks = minOf(job.tasks, 8))
+                    cluster.submit(longerJob, null)
                 }
                 cluster.run(1.seconds)
             }
 
-        /** From a fraction of a second to longer than a cancellation may take. */
-        private fun outage(): Duration =
+        /** Returns a time between a fraction of a second and more than a cancellation may take. */
+        private fun randomOutage(): Duration =
             when (random.nextInt(4)) {
                 0 -> random.nextInt(100, 1000).milliseconds
                 1 -> random.nextInt(1, 9).seconds
@@ -59,14 +60,14 @@
             if (random.nextBoolean()) cancelSome(4)
             (0..2).forEach(cluster::stopController)
             if (random.nextInt(3) == 0) cluster.store.out = true
-            val outage = outage()
+            val outage = randomOutage()
             cluster.run(outage / 2)
-            failWhileStopped()
+            injectFailure()
             cluster.run(outage / 2)
             if (random.nextInt(3) == 0) cluster.lateWrites = 0.15
             startControllers()
             cluster.store.out = false
-            pause(random.nextInt(1, 6))
+            runAndSubmit(random.nextInt(1, 6))
             cancelSome(2)
         }
 
@@ -77,7 +78,7 @@
                 .take(count)
                 .forEach(cluster::cancel)
 
-        private fun failWhileStopped() {
+        private fun injectFailure() {
             val machines = cluster.upMachines().shuffled(random)
             when (random.nextInt(6)) {
                 0 -> machines.take(machines.size * 2 / 3).forEach(cluster::kill)
@@ -92,7 +93,7 @@
             }
         }
 
-        /** One by one and far apart, some to stop again; or nearly at once. */
+        /** Starts the controllers in random order, far apart or nearly at once, and restarts some of them. */
         private fun startControllers() {
             val maxMillisApart = if (random.nextBoolean()) 15_000 else 500
             for (controller in (0..2).shuffled(random)) {
@@ -108,14 +109,14 @@
 
     @ParameterizedTest
     @MethodSource("seeds")
-    fun `no rule is broken and every job finishes`(seed: Int) {
+    fun `no protocol rule is broken and every job finishes`(seed: Int) {
         val restarts = Restarts(seed)
         val cluster = restarts.cluster
         for (i in 0..2) cluster.startController(i)
-        restarts.pause(40)
+        restarts.runAndSubmit(40)
         repeat(3) {
             restarts.restartAll()
-            restarts.pause(restarts.random.nextInt(5, 30))
+            restarts.runAndSubmit(restarts.random.nextInt(5, 30))
         }
         cluster.endFaults()
         val deadline = cluster.now() + 3000.seconds
@@ -130,10 +131,10 @@
                 ?.value() ?: Double.NaN
         cluster.end()
         assertEquals(emptyList<String>(), cluster.violations.take(5))
-        val ended = cluster.finishedJobs + cluster.cancelledJobs
-        assertEquals(cluster.acceptedJobs, ended, "jobs that ended; ${cluster.describe()}")
+        val terminatedJobs = cluster.finishedJobs + cluster.cancelledJobs
+        assertEquals(cluster.acceptedJobs, terminatedJobs, "finished and cancelled jobs; ${cluster.describe()}")
         assertTrue(cluster.starts > 20, "only ${cluster.starts} tasks started")
-        assertTrue(completedAfterSeconds.isFinite(), "the last recovery completed")
+        assertTrue(completedAfterSeconds.isFinite(), "the last recovery must be completed")
     }
 
     companion object {
--- a/src/test/kotlin/umberslip/recovery/LossWithoutLeaderTest.kt
+++ b/src/test/kotlin/umberslip/recovery/LossWithoutLeaderTest.kt
@@ -15,8 +15,8 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * Most machines are lost while every controller is stopped. What is left is less than half, so the others look like a
- * partitioned zone, and without the cloud's list their tasks wait until every lease must have expired.
+ * Most machines are lost while all controllers are stopped. Since less than half of the machines remain, the lost ones
+ * look like a partitioned zone. Without the cloud's list, their tasks wait until every lease must have expired.
  */
 class LossWithoutLeaderTest {
     private class Outcome(
@@ -27,17 +27,17 @@
 
     @ParameterizedTest
     @ValueSource(ints = [1, 2, 3, 4, 5, 6])
-    fun `lost tasks wait again as soon as the list must show the loss, and no rule is broken`(seed: Int) {
-        val off = play(seed, returnMissing = false)
-        val on = play(seed, returnMissing = true)
-        assertTrue(on.lostTasks > 50, "only ${on.lostTasks} tasks were lost")
-        assertTrue(on.adoptedTasks > 20, "only ${on.adoptedTasks} tasks were adopted")
-        assertEquals(off.lostTasks, on.lostTasks, "no more is given up than what is lost")
-        assertTrue(on.completedAfter <= LISTED, "completed after ${on.completedAfter}")
-        assertTrue(off.completedAfter > LISTED * 3, "without the list after ${off.completedAfter}")
+    fun `lost tasks are requeued once the cloud's list must show the loss, and no rule is broken`(seed: Int) {
+        val withoutList = runScenario(seed, returnMissing = false)
+        val withList = runScenario(seed, returnMissing = true)
+        assertTrue(withList.lostTasks > 50, "only ${withList.lostTasks} tasks were lost")
+        assertTrue(withList.adoptedTasks > 20, "only ${withList.adoptedTasks} tasks were adopted")
+        assertEquals(withoutList.lostTasks, withList.lostTasks, "only tasks that are really lost may count as lost")
+        assertTrue(withList.completedAfter <= LOSS_DETECTION, "completed after ${withList.completedAfter}")
+        assertTrue(withoutList.completedAfter > LOSS_DETECTION * 3, "without list after ${withoutList.completedAfter}")
     }
 
-    private fun play(
+    private fun runScenario(
         seed: Int,
         returnMissing: Boolean,
     ): Outcome {
@@ -74,7 +74,7 @@
         number: Int,
     ) = Fixtures.unboundJob(random, number).copy(tasks = 12, expectedSeconds = 120.0)
 
-    /** Null while nobody leads, or the term is that from before the controllers were stopped. */
+    /** Returns null while no controller leads, or if the term is the one before the controllers were stopped. */
     private fun gauge(
         cluster: SimulatedCluster,
         name: String,
@@ -89,7 +89,7 @@
     }
 
     private companion object {
-        /** Twice the list's lag, the margin, the time between lists and what the cloud takes to respond. */
-        val LISTED = 20.seconds
+        /** Covers twice the list's lag, the margin, the interval between lists and the cloud's response time. */
+        val LOSS_DETECTION = 20.seconds
     }
 }
--- a/src/test/kotlin/umberslip/recovery/MissingMachinesTest.kt
+++ b/src/test/kotlin/umberslip/recovery/MissingMachinesTest.kt
@@ -15,39 +15,39 @@
 
 class MissingMachinesTest {
     private val settings = Settings.parse(Fixtures.settingsJson("c-0"))
-    private val missing = MissingMachines(settings, Timings(settings.workers, Tuning()))
+    private val missingMachines = MissingMachines(settings, Timings(settings.workers, Tuning()))
 
     private class Lifetime(
         val name: MachineName,
-        val from: Duration,
-        val to: Duration,
+        val start: Duration,
+        val end: Duration,
     )
 
-    /** Lists are up to twice the lag old, and one may be older than the one before. */
+    /** A list lags by up to twice the nominal lag, and may show an earlier moment than the list before it. */
     @Test
-    fun `a machine that exists is never found missing, whatever the lists' age`() {
+    fun `a machine that exists is never found missing, at any lag up to the maximum`() {
         var found = 0
         for (seed in 1..500) {
             val random = Random(seed)
             val lifetimes =
                 List(8) {
-                    val from = random.nextInt(60_000).milliseconds
-                    Lifetime(MachineName("m$it"), from, from + random.nextInt(90_000).milliseconds)
+                    val start = random.nextInt(60_000).milliseconds
+                    Lifetime(MachineName("m$it"), start, start + random.nextInt(90_000).milliseconds)
                 }
             repeat(40) {
-                val began = random.nextInt(150_000).milliseconds
-                val asOf = began - settings.listLag * random.nextDouble(0.0, 2.0)
-                val listed = lifetimes.filter { it.from <= asOf && asOf < it.to }.mapTo(HashSet()) { it.name }
-                // Known from some time after it was provisioned; without contact for any time.
+                val sentAt = random.nextInt(150_000).milliseconds
+                val listedAt = sentAt - settings.listLag * random.nextDouble(0.0, 2.0)
+                val listed = lifetimes.filter { it.start <= listedAt && listedAt < it.end }.mapTo(HashSet()) { it.name }
+                // The leader learns of a machine after it was provisioned. The time without contact is arbitrary.
                 val known =
                     lifetimes.map { lifetime ->
-                        val since = lifetime.from + random.nextInt(20_000).milliseconds
-                        KnownMachine(lifetime.name, since, random.nextInt(30_000).milliseconds)
+                        val provisionedBefore = lifetime.start + random.nextInt(20_000).milliseconds
+                        KnownMachine(lifetime.name, provisionedBefore, random.nextInt(30_000).milliseconds)
                     }
-                for (name in missing.find(began, listed, known)) {
+                for (name in missingMachines.find(sentAt, listed, known)) {
                     found++
                     val lifetime = lifetimes.first { it.name == name }
-                    assertTrue(lifetime.to <= began, "seed $seed: $name exists until ${lifetime.to}, list of $began")
+                    assertTrue(lifetime.end <= sentAt, "seed $seed: $name ends at ${lifetime.end}, list of $sentAt")
                 }
             }
         }
@@ -55,11 +55,11 @@
     }
 
     @Test
-    fun `a machine is found missing by the first list that must show it, unless it had contact lately`() {
+    fun `a machine is found missing by the first list that must show it, unless it had contact recently`() {
         val known = KnownMachine(MachineName("m"), 100.seconds, 20.seconds)
         val inContact = KnownMachine(MachineName("n"), 100.seconds, 2.seconds)
-        assertEquals(emptyList<MachineName>(), missing.find(108.seconds, emptySet(), listOf(known, inContact)))
-        assertEquals(listOf(known.name), missing.find(110.seconds, emptySet(), listOf(known, inContact)))
-        assertEquals(emptyList<MachineName>(), missing.find(110.seconds, setOf(known.name), listOf(known)))
+        assertEquals(emptyList<MachineName>(), missingMachines.find(108.seconds, emptySet(), listOf(known, inContact)))
+        assertEquals(listOf(known.name), missingMachines.find(110.seconds, emptySet(), listOf(known, inContact)))
+        assertEquals(emptyList<MachineName>(), missingMachines.find(110.seconds, setOf(known.name), listOf(known)))
     }
 }
--- a/src/test/kotlin/umberslip/recovery/ReconciliationFindingTest.kt
+++ b/src/test/kotlin/umberslip/recovery/ReconciliationFindingTest.kt
@@ -16,49 +16,49 @@
 import kotlin.time.Duration.Companion.seconds
 
 /**
- * After every controller has stopped: generated records and heartbeats disagree, and the leader does what each finding
- * says.
+ * Generated records and heartbeats disagree after all controllers were stopped. The new leader must carry out the
+ * decision of each finding.
  */
 class ReconciliationFindingTest {
-    private val seen = EnumSet.noneOf(ReconciliationFinding::class.java)
+    private val observedFindings = EnumSet.noneOf(ReconciliationFinding::class.java)
 
     @Test
     fun `the leader's commands carry out the decision of each finding`() {
-        for (seed in 1..300) play(Random(seed))
-        assertEquals(EnumSet.allOf(ReconciliationFinding::class.java), seen, "every finding occurred")
+        for (seed in 1..300) runScenario(Random(seed))
+        assertEquals(EnumSet.allOf(ReconciliationFinding::class.java), observedFindings, "every finding must occur")
     }
 
-    private fun play(random: Random) {
-        val former = TestScheduler()
-        val jobs = List(4) { former.job { it.copy(tasks = 2) } }
-        former.heartbeat("m")
-        former.dispatch("m")
-        former.write()
-        val started = former.commands("m").filterIsInstance<WorkerCommand.Start>()
-        // What the former leader still recorded before it stopped.
-        val ended = started.filter { random.nextInt(5) == 0 }
-        former.heartbeat("m", *ended.map { TestScheduler.ended(it.task, it.attempt, ExitCause.DONE) }.toTypedArray())
-        former.now += 2.seconds
-        former.write()
-        jobs.filter { random.nextInt(5) == 0 }.forEach { former.cancel(it) }
+    private fun runScenario(random: Random) {
+        val previous = TestScheduler()
+        val jobs = List(4) { previous.job { it.copy(tasks = 2) } }
+        previous.heartbeat("m")
+        previous.dispatch("m")
+        previous.write()
+        val started = previous.commands("m").filterIsInstance<WorkerCommand.Start>()
+        // The exits that the previous leader still recorded before it stopped.
+        val exited = started.filter { random.nextInt(5) == 0 }
+        previous.heartbeat("m", *exited.map { TestScheduler.ended(it.task, it.attempt, ExitCause.DONE) }.toTypedArray())
+        previous.now += 2.seconds
+        previous.write()
+        jobs.filter { random.nextInt(5) == 0 }.forEach { previous.cancel(it) }
         val cancelled =
-            former.scheduler.jobs.values
+            previous.scheduler.jobs.values
                 .filter { it.cancelled }
                 .map { it.spec.id }
 
-        val next = former.successor()
-        // Cancelled in the records, too, when the new leader reads them.
-        for (id in cancelled) next.scheduler.jobs[id]?.let(next::cancel)
-        val reported = started.mapNotNull { heartbeat(it, random) } + strangers(random)
-        next.heartbeat("m", fencingToken = former.term, sequenceNumber = 50)
-        val before = next.scheduler.jobs.mapValues { (_, job) -> job.doneCount }
-        val machine = next.scheduler.machines.getValue(MachineName("m"))
-        val findings = ReconciliationFinding.classify(machine, reported, next.scheduler.jobs)
-        next.heartbeat("m", *reported.toTypedArray(), sequenceNumber = 51)
-        check(next, reported, findings, before)
+        val newLeader = previous.successor()
+        // The cancellations are in the records, too, when the new leader reads them.
+        for (id in cancelled) newLeader.scheduler.jobs[id]?.let(newLeader::cancel)
+        val reported = started.mapNotNull { reportedTask(it, random) } + tasksOfUnknownJobs(random)
+        newLeader.heartbeat("m", fencingToken = previous.term, sequenceNumber = 50)
+        val doneBefore = newLeader.scheduler.jobs.mapValues { (_, job) -> job.doneCount }
+        val machine = newLeader.scheduler.machines.getValue(MachineName("m"))
+        val findings = ReconciliationFinding.classify(machine, reported, newLeader.scheduler.jobs)
+        newLeader.heartbeat("m", *reported.toTypedArray(), sequenceNumber = 51)
+        checkDecisions(newLeader, reported, findings, doneBefore)
     }
 
-    private fun heartbeat(
+    private fun reportedTask(
         start: WorkerCommand.Start,
         random: Random,
     ): ReportedTask? =
@@ -70,8 +70,8 @@
             else -> TestScheduler.running(start.task, start.attempt)
         }
 
-    /** Tasks of jobs that no record names. */
-    private fun strangers(random: Random): List<ReportedTask> {
+    /** Returns tasks of jobs that have no record. */
+    private fun tasksOfUnknownJobs(random: Random): List<ReportedTask> {
         val id = TaskId(JobId("run-999999"), random.nextInt(3))
         return when (random.nextInt(3)) {
             0 -> listOf(TestScheduler.running(id, 1))
@@ -80,53 +80,53 @@
         }
     }
 
-    private fun check(
-        next: TestScheduler,
+    private fun checkDecisions(
+        newLeader: TestScheduler,
         reported: List<ReportedTask>,
         findings: Map<TaskId, ReconciliationFinding>,
         doneBefore: Map<JobId, Int>,
     ) {
-        val commands = next.commands("m").groupBy { it.task }
+        val commands = newLeader.commands("m").groupBy { it.task }
         val attempts = reported.associate { it.task to it.attempt }
         for ((task, finding) in findings) {
-            seen += finding
-            val here = commands[task].orEmpty()
+            observedFindings += finding
+            val taskCommands = commands[task].orEmpty()
             when (finding.decision) {
                 ReconciliationDecision.CONTINUE, ReconciliationDecision.WITHDRAW ->
-                    assertTrue(here.isEmpty(), "$task $finding: $here")
+                    assertTrue(taskCommands.isEmpty(), "$task $finding: $taskCommands")
                 ReconciliationDecision.STOP -> {
-                    val stop = here.single() as WorkerCommand.Stop
+                    val stop = taskCommands.single() as WorkerCommand.Stop
                     assertEquals(attempts[task], stop.attempt, "$task $finding")
                 }
                 ReconciliationDecision.CLEAR -> {
-                    val clear = here.first() as WorkerCommand.Clear
+                    val clear = taskCommands.first() as WorkerCommand.Clear
                     assertEquals(attempts[task], clear.attempt, "$task $finding")
                 }
                 ReconciliationDecision.REPEAT_START -> {
-                    val assignment = next.machine("m").assignments.getValue(task)
-                    val startedAttempts = here.map { (it as WorkerCommand.Start).attempt }
+                    val assignment = newLeader.machine("m").assignments.getValue(task)
+                    val startedAttempts = taskCommands.map { (it as WorkerCommand.Start).attempt }
                     assertEquals(listOf(assignment.attempt), startedAttempts, "$task $finding")
                 }
                 ReconciliationDecision.RECORD_EXIT ->
-                    assertTrue(here.isEmpty(), "$task is not cleared before its exit is written")
+                    assertTrue(taskCommands.isEmpty(), "$task must not be cleared before its exit is written")
             }
         }
-        checkExitsAreRecorded(next, findings, doneBefore)
+        checkExitsAreRecorded(newLeader, findings, doneBefore)
     }
 
     private fun checkExitsAreRecorded(
-        next: TestScheduler,
+        newLeader: TestScheduler,
         findings: Map<TaskId, ReconciliationFinding>,
         doneBefore: Map<JobId, Int>,
     ) {
-        val jobs = HashMap<JobId, RunningJob>(next.scheduler.jobs)
-        // Exits wait a moment for others to be written along with them.
-        next.now += 2.seconds
-        next.write()
-        val cleared = next.commands("m").filterIsInstance<WorkerCommand.Clear>().map { it.task }
+        val jobs = HashMap<JobId, RunningJob>(newLeader.scheduler.jobs)
+        // The write of an exit is delayed for a moment so that other exits can be written together with it.
+        newLeader.now += 2.seconds
+        newLeader.write()
+        val cleared = newLeader.commands("m").filterIsInstance<WorkerCommand.Clear>().map { it.task }
         for ((task, finding) in findings) {
             if (finding != ReconciliationFinding.EXIT_UNRECORDED) continue
-            assertTrue(task in cleared, "$task is cleared once its exit is written")
+            assertTrue(task in cleared, "$task must be cleared once its exit is written")
             assertTrue(jobs.getValue(task.job).isDone(task.index))
             assertTrue(jobs.getValue(task.job).doneCount > doneBefore.getValue(task.job))
         }
--- a/src/test/kotlin/umberslip/recovery/RecoveryReportTest.kt
+++ b/src/test/kotlin/umberslip/recovery/RecoveryReportTest.kt
@@ -21,17 +21,17 @@
 import kotlin.time.Duration.Companion.milliseconds
 import kotlin.time.Duration.Companion.seconds
 
-/** What operators read agrees with what a controller found, and follows the published schema. */
+/** The metrics and reports that operators read agree with a controller's findings and follow the published schema. */
 class RecoveryReportTest {
     private val schema =
         SchemaRegistry.withDefaultDialect(SpecificationVersion.DRAFT_2020_12).getSchema(RecoveryReportJson.schema())
 
-    private fun snapshot(
+    private fun randomSnapshot(
         random: Random,
         phase: RecoveryPhase = RecoveryPhase.entries.random(random),
         term: Long = random.nextLong(1, 1000),
     ): RecoverySnapshot {
-        fun time(): Duration? = random.nextInt(100_000).milliseconds.takeIf { random.nextBoolean() }
+        fun randomTime(): Duration? = random.nextInt(100_000).milliseconds.takeIf { random.nextBoolean() }
         return RecoverySnapshot(
             Term(term),
             phase,
@@ -41,9 +41,9 @@
             random.nextInt(500),
             random.nextInt(500),
             ReconciliationFinding.entries.filter { random.nextBoolean() }.associateWith { random.nextInt(1, 900) },
-            time(),
-            time(),
-            time(),
+            randomTime(),
+            randomTime(),
+            randomTime(),
         )
     }
 
@@ -62,7 +62,7 @@
         ),
     )
 
-    private fun published(snapshot: RecoverySnapshot?): ControllerAnswer {
+    private fun publishAndParse(snapshot: RecoverySnapshot?): ControllerAnswer {
         val registry = PrometheusMeterRegistry(PrometheusConfig.DEFAULT)
         RecoveryMetrics(registry) { snapshot }.register()
         return ControllerMetrics.parse("10.0.0.1:8080", registry.scrape())
@@ -71,17 +71,17 @@
     @Test
     fun `a snapshot is read from the metrics as it was published`() {
         for (seed in 1..50) {
-            val snapshot = snapshot(Random(seed))
-            assertEquals(ControllerAnswer.Leader("10.0.0.1:8080", snapshot), published(snapshot))
+            val snapshot = randomSnapshot(Random(seed))
+            assertEquals(ControllerAnswer.Leader("10.0.0.1:8080", snapshot), publishAndParse(snapshot))
         }
-        assertEquals(ControllerAnswer.NotLeader("10.0.0.1:8080"), published(null))
-        val without = ControllerMetrics.parse("a:1", "umberslip_reports_total 4.0\n")
-        assertEquals(ControllerAnswer.NotTracked("a:1"), without)
+        assertEquals(ControllerAnswer.NotLeader("10.0.0.1:8080"), publishAndParse(null))
+        val untracked = ControllerMetrics.parse("a:1", "umberslip_reports_total 4.0\n")
+        assertEquals(ControllerAnswer.NotTracked("a:1"), untracked)
     }
 
-    /** Scripts and dashboards depend on them, whatever the constants are called. */
+    /** Scripts and dashboards depend on these names, so they must not change when a constant is renamed. */
     @Test
-    fun `published names, exit codes and the order of phases stay as they were released`() {
+    fun `published names, exit codes and the order of phases are those of the released versions`() {
         assertEquals(listOf("waiting", "adopting", "settled"), RecoveryPhase.entries.map { it.jsonName })
         assertEquals(
             mapOf("settled" to 0, "recovering" to 3, "no_owner" to 4, "owner_not_heard" to 5, "unknown" to 6),
@@ -95,16 +95,16 @@
     }
 
     @Test
-    fun `a controller that cannot be reached is named with the reason`() {
+    fun `a controller that cannot be reached is reported as unreachable`() {
         val port = ServerSocket(0).use { it.localPort }
         val answer = ControllerMetrics().query(InetSocketAddress("127.0.0.1", port))
         assertTrue(answer is ControllerAnswer.Unreachable, "$answer")
     }
 
     @Test
-    fun `the status follows the highest term that anybody knows`() {
-        val completed = ControllerAnswer.Leader("a:1", snapshot(Random(1), RecoveryPhase.COMPLETED, 5))
-        val adopting = ControllerAnswer.Leader("b:1", snapshot(Random(2), RecoveryPhase.ADOPTING, 6))
+    fun `the status follows the highest term in the records and the controllers' answers`() {
+        val completed = ControllerAnswer.Leader("a:1", randomSnapshot(Random(1), RecoveryPhase.COMPLETED, 5))
+        val adopting = ControllerAnswer.Leader("b:1", randomSnapshot(Random(2), RecoveryPhase.ADOPTING, 6))
         val unreachable = ControllerAnswer.Unreachable("c:1", "refused")
         val unreadable = RecordsAnswer.Unreadable("503")
 
@@ -122,7 +122,7 @@
     }
 
     @Test
-    fun `the JSON follows the schema, and the schema refuses what it should`() {
+    fun `the JSON follows the schema, and the schema rejects invalid documents`() {
         for (seed in 1..200) {
             val random = Random(seed)
             val records = if (random.nextInt(4) == 0) RecordsAnswer.Unreadable("out") else records("c-0", 3)
@@ -132,22 +132,22 @@
                         0 -> ControllerAnswer.NotLeader("a:1")
                         1 -> ControllerAnswer.NotTracked("a:1")
                         2 -> ControllerAnswer.Unreachable("a:1", "refused")
-                        else -> ControllerAnswer.Leader("a:1", snapshot(random))
+                        else -> ControllerAnswer.Leader("a:1", randomSnapshot(random))
                     }
                 }
             val json = RecoveryReportJson.render(RecoveryReport(records, controllers))
             assertEquals(emptyList<Any>(), schema.validate(json, InputFormat.JSON), json)
         }
-        val leader = ControllerAnswer.Leader("a:1", snapshot(Random(1)))
-        val good = RecoveryReportJson.render(RecoveryReport(records("c-0", 3), listOf(leader)))
+        val leader = ControllerAnswer.Leader("a:1", randomSnapshot(Random(1)))
+        val valid = RecoveryReportJson.render(RecoveryReport(records("c-0", 3), listOf(leader)))
         for ((from, to) in listOf(
             "\"version\":1" to "\"version\":2",
             "\"state\":\"owner\"" to "\"state\":\"not_owner\"",
             "\"unfinished_jobs\":4" to "\"unfinished_jobs\":-4",
             "\"recorded_tasks\"" to "\"tasks\"",
         )) {
-            assertTrue(from in good, good)
-            assertFalse(schema.validate(good.replace(from, to), InputFormat.JSON).isEmpty(), "$to is refused")
+            assertTrue(from in valid, valid)
+            assertFalse(schema.validate(valid.replace(from, to), InputFormat.JSON).isEmpty(), "$to must be rejected")
         }
     }
 
@@ -160,17 +160,17 @@
         scheduler.dispatch("m1")
         scheduler.write()
         scheduler.cancel(cancelled)
-        val state = scheduler.recorded()
+        val work = scheduler.recorded()
         val started = scheduler.machine("m1").assignments.size
-        assertTrue(started > 0, "nothing of ${job.spec.id} was started")
-        assertEquals(started, state.starts.size)
-        assertEquals(1, state.machinesWithTasks)
-        assertEquals(2, state.jobs.size)
+        assertTrue(started > 0, "no task of ${job.spec.id} was started")
+        assertEquals(started, work.starts.size)
+        assertEquals(1, work.machinesWithTasks)
+        assertEquals(2, work.jobs.size)
     }
 
     @Test
-    fun `the text names what cannot be read and who cannot be reached`() {
-        val adopting = snapshot(Random(1), RecoveryPhase.ADOPTING, 3).copy(completedAfter = null)
+    fun `the text names unreadable records and unreachable controllers`() {
+        val adopting = randomSnapshot(Random(1), RecoveryPhase.ADOPTING, 3).copy(completedAfter = null)
         val report =
             RecoveryReport(
                 records("c-0", 3),
--- a/src/test/kotlin/umberslip/recovery/RecoveryTrackerTest.kt
+++ b/src/test/kotlin/umberslip/recovery/RecoveryTrackerTest.kt
@@ -16,9 +16,9 @@
         assertEquals(RecoveryPhase.COMPLETED, tracker.snapshot(10.seconds).phase)
     }
 
-    /** Machines are reconciled, are lost, send heartbeats again or after their loss, in any order. */
+    /** In any order, machines are reconciled, are lost, or send heartbeats again after either. */
     @Test
-    fun `every recorded task is unreconciled, found or lost, and the last of them completes the recovery`() {
+    fun `every recorded task is unreconciled, found or lost, and the last unreconciled one completes the recovery`() {
         for (seed in 1..200) {
             val random = Random(seed)
             val recorded = List(random.nextInt(1, 20)) { MachineName("m$it") }.associateWith { random.nextInt(1, 9) }
@@ -48,7 +48,7 @@
                 assertEquals(snapshot.recordedTasks, snapshot.unreconciledTasks + found + lost)
             }
             val completedAfter = now - 100.seconds
-            // Machines that are reconciled later do not change it.
+            // Machines that are reconciled later do not change the time of completion.
             tracker.reconciled(MachineName("new"), emptyList(), now + 5.seconds)
             assertEquals(completedAfter, tracker.snapshot(now + 9.seconds).completedAfter)
             assertEquals(RecoveryPhase.COMPLETED, tracker.snapshot(now + 9.seconds).phase)
@@ -56,7 +56,7 @@
     }
 
     @Test
-    fun `nine tenths are accounted for before the last machine is`() {
+    fun `nine tenths of the tasks are accounted for before the last machine is reconciled`() {
         val tracker = RecoveryTracker(Term(2), 0.seconds)
         tracker.recordsLoaded(List(10) { MachineName("m$it") }.associateWith { 1 }, 0.seconds)
         assertEquals(RecoveryPhase.WAITING, tracker.snapshot(0.seconds).phase)
--- a/src/test/kotlin/umberslip/recovery/archive/RecordArchiveTest.kt
+++ b/src/test/kotlin/umberslip/recovery/archive/RecordArchiveTest.kt
@@ -22,7 +22,7 @@
 import kotlin.random.Random
 import kotlin.time.Duration.Companion.seconds
 
-/** An archive is read whole and as it was written, or refused with the reason. */
+/** An archive is either read completely and as it was written, or rejected with the reason. */
 class RecordArchiveTest {
     @TempDir
     lateinit var directory: Path
@@ -41,7 +41,7 @@
             else -> List(random.nextInt(4)) { "f$it" to value(random, depth - 1) }.toMap()
         }
 
-    private fun archive(random: Random) =
+    private fun anyArchive(random: Random) =
         RecordArchive(
             ArchiveHeader(Instant.ofEpochMilli(random.nextLong(0, 2_000_000_000_000)), random.nextLong(0, 1 shl 30)),
             List(random.nextInt(30)) { Entry("u/x/$it", value(random, 3), Version(random.nextLong(1, 1 shl 30))) },
@@ -50,7 +50,7 @@
     @Test
     fun `an archive is read as it was written`() {
         for (seed in 1..150) {
-            val archive = archive(Random(seed))
+            val archive = anyArchive(Random(seed))
             val file = directory.resolve("records.zst")
             ArchiveFile.write(archive, file)
             assertEquals(archive, ArchiveFile.read(file), "seed $seed")
@@ -59,42 +59,42 @@
     }
 
     @Test
-    fun `a file that ends early anywhere is refused`() {
+    fun `a file that is truncated at any byte is rejected`() {
         val file = directory.resolve("records.zst")
-        ArchiveFile.write(archive(Random(7)), file)
+        ArchiveFile.write(anyArchive(Random(7)), file)
         val bytes = Files.readAllBytes(file)
         for (length in bytes.indices) {
             Files.write(file, bytes.copyOf(length))
-            assertThrows<ArchiveException>("cut to $length of ${bytes.size} bytes") { ArchiveFile.read(file) }
+            assertThrows<ArchiveException>("truncated to $length of ${bytes.size} bytes") { ArchiveFile.read(file) }
         }
     }
 
     @Test
-    fun `a file with a changed byte anywhere is refused`() {
+    fun `a file with a changed bit in any byte is rejected`() {
         val file = directory.resolve("records.zst")
-        ArchiveFile.write(archive(Random(8)), file)
+        ArchiveFile.write(anyArchive(Random(8)), file)
         val bytes = Files.readAllBytes(file)
         val random = Random(8)
-        for (at in bytes.indices) {
+        for (position in bytes.indices) {
             val changed = bytes.clone()
-            changed[at] = (changed[at].toInt() xor (1 shl random.nextInt(8))).toByte()
+            changed[position] = (changed[position].toInt() xor (1 shl random.nextInt(8))).toByte()
             Files.write(file, changed)
-            // A few bits of the frame's header change how it is stored, not what it says.
+            // A few bits of the frame header affect only how the data is stored, not the data itself.
             val read =
                 try {
                     ArchiveFile.read(file)
                 } catch (_: ArchiveException) {
                     null
                 }
-            assertTrue(read == null || read == archive(Random(8)), "byte $at")
+            assertTrue(read == null || read == anyArchive(Random(8)), "byte $position")
         }
     }
 
-    /** Compressed anew, so that only the archive's own checks are left to find it. */
+    /** The changed lines are compressed again, so that only the archive's own checks can detect the change. */
     @Test
-    fun `changed, missing and repeated lines are refused, and so are other versions`() {
+    fun `changed, missing and repeated lines and other versions are rejected`() {
         val file = directory.resolve("records.zst")
-        val archive = archive(Random(9)).copy(entries = List(5) { Entry("u/x/$it", mapOf("a" to 1L), Version(1)) })
+        val archive = anyArchive(Random(9)).copy(entries = List(5) { Entry("u/x/$it", mapOf("a" to 1L), Version(1)) })
         ArchiveFile.write(archive, file)
         val lines =
             Zstd
@@ -103,17 +103,17 @@
                 .trim()
                 .lines()
 
-        fun refusal(changed: List<String>): ArchiveException {
+        fun readFailure(changed: List<String>): ArchiveException {
             Files.write(file, Zstd.compress(changed.joinToString("\n", postfix = "\n").toByteArray()))
             return assertThrows<ArchiveException> { ArchiveFile.read(file) }
         }
-        assertTrue(refusal(lines.map { it.replace("\"a\":1", "\"a\":2") }) is ArchiveException.Corrupt)
-        assertTrue(refusal(lines.filterIndexed { i, _ -> i != 3 }) is ArchiveException.Corrupt)
-        assertTrue(refusal(lines.take(3) + lines[2] + lines.drop(3)) is ArchiveException.Corrupt)
-        assertTrue(refusal(lines.dropLast(1)) is ArchiveException.Incomplete)
-        val later = lines[0].replace("\"version\":1", "\"version\":2")
-        assertTrue(refusal(listOf(later) + lines.drop(1)) is ArchiveException.UnsupportedVersion)
-        assertTrue(refusal(lines.drop(1)) is ArchiveException.NotAnArchive)
+        assertTrue(readFailure(lines.map { it.replace("\"a\":1", "\"a\":2") }) is ArchiveException.Corrupt)
+        assertTrue(readFailure(lines.filterIndexed { i, _ -> i != 3 }) is ArchiveException.Corrupt)
+        assertTrue(readFailure(lines.take(3) + lines[2] + lines.drop(3)) is ArchiveException.Corrupt)
+        assertTrue(readFailure(lines.dropLast(1)) is ArchiveException.Incomplete)
+        val laterVersion = lines[0].replace("\"version\":1", "\"version\":2")
+        assertTrue(readFailure(listOf(laterVersion) + lines.drop(1)) is ArchiveException.UnsupportedVersion)
+        assertTrue(readFailure(lines.drop(1)) is ArchiveException.NotAnArchive)
         Files.writeString(file, "{}")
         assertTrue(assertThrows<ArchiveException> { ArchiveFile.read(file) } is ArchiveException.NotAnArchive)
     }
@@ -125,29 +125,29 @@
         for (machineName in listOf("m1", "m2", "m3")) {
             scheduler.heartbeat(machineName)
             scheduler.dispatch(machineName)
-            // Until then, new work waits for a machine that has its image.
+            // Within this time, new tasks wait for a machine that already has their image.
             scheduler.now += 2.seconds
         }
         scheduler.write()
         val before = scheduler.recorded()
         assertEquals(jobs.mapTo(HashSet()) { it.spec.id }, before.jobs)
         assertEquals(6, before.starts.size)
-        // m2 is lost and its tasks start elsewhere; on m3 one job's task exits.
-        val onM2 =
+        // m2 is lost and its tasks start on another machine. One task on m3 exits.
+        val tasksOnM2 =
             scheduler
                 .machine("m2")
                 .assignments.keys
                 .toSet()
-        val ended = scheduler.commands("m3").filterIsInstance<WorkerCommand.Start>().first()
+        val exited = scheduler.commands("m3").filterIsInstance<WorkerCommand.Start>().first()
         val stillRunning =
             scheduler
                 .machine("m3")
                 .assignments.values
-                .filter { it.id != ended.task }
+                .filter { it.id != exited.task }
         scheduler.scheduler.forget(scheduler.machine("m2"), scheduler.now)
         scheduler.heartbeat(
             "m3",
-            TestScheduler.ended(ended.task, ended.attempt, ExitCause.DONE),
+            TestScheduler.ended(exited.task, exited.attempt, ExitCause.DONE),
             *stillRunning.map { TestScheduler.running(it.id, it.attempt) }.toTypedArray(),
         )
         scheduler.now += 5.seconds
@@ -155,19 +155,19 @@
         scheduler.dispatch("m4")
         scheduler.write()
         val comparison = RecordComparison(before, scheduler.recorded())
-        for (task in onM2) assertEquals(TaskChange.RESTARTED, comparison.taskChanges[task], "$task")
-        assertEquals(TaskChange.NOT_PLACED, comparison.taskChanges[ended.task])
-        assertEquals(6 - onM2.size - 1, comparison.count(TaskChange.CONTINUED))
+        for (task in tasksOnM2) assertEquals(TaskChange.RESTARTED, comparison.taskChanges[task], "$task")
+        assertEquals(TaskChange.NOT_PLACED, comparison.taskChanges[exited.task])
+        assertEquals(6 - tasksOnM2.size - 1, comparison.count(TaskChange.CONTINUED))
         assertEquals(emptySet<Any>(), comparison.lostProgress)
         assertTrue(MachineName("m2") in comparison.emptiedMachines)
         assertEquals(
             listOf("ran_on", "started_again", "not_placed", "job_ended"),
             TaskChange.entries.map { it.jsonName },
-            "published names stay, whatever the constants are called",
+            "published names must not change when a constant is renamed",
         )
         val reversed = RecordComparison(scheduler.recorded(), before)
-        assertEquals(setOf(ended.task.job), reversed.lostProgress)
-        assertTrue("LOST PROGRESS: ${ended.task.job.value}" in reversed.toText())
+        assertEquals(setOf(exited.task.job), reversed.lostProgress)
+        assertTrue("LOST PROGRESS: ${exited.task.job.value}" in reversed.toText())
     }
 
     @Test
@@ -175,7 +175,7 @@
         val settings = directory.resolve("settings.json")
         Files.writeString(settings, Fixtures.settingsJson("c-0"))
         val file = directory.resolve("records.zst")
-        ArchiveFile.write(archive(Random(3)), file)
+        ArchiveFile.write(anyArchive(Random(3)), file)
         assertEquals(0, run("records", "show", "--config", "$settings", "$file").first)
         Files.write(file, Files.readAllBytes(file).copyOf(40))
         val (exitCode, error) = run("records", "show", "--config", "$settings", "$file")
--- a/src/test/kotlin/umberslip/settings/SettingsTest.kt
+++ b/src/test/kotlin/umberslip/settings/SettingsTest.kt
@@ -37,12 +37,12 @@
     fun `a missing or invalid setting is named`(
         from: String,
         to: String,
-        field: String,
+        key: String,
     ) {
         assertTrue(from in json)
         val invalid = json.replaceFirst(from, to)
-        val failure = assertThrows(InvalidSettingsException::class.java) { Settings.parse(invalid) }
-        assertTrue(field in failure.message.orEmpty(), failure.message)
+        val exception = assertThrows(InvalidSettingsException::class.java) { Settings.parse(invalid) }
+        assertTrue(key in exception.message.orEmpty(), exception.message)
     }
 
     @Test
@@ -73,7 +73,7 @@
     }
 
     @Test
-    fun `objectives for starts are read, and those of unknown kinds are ignored`() {
+    fun `objectives for task starts are read, and objectives of unknown kinds are ignored`() {
         val json =
             Fixtures.settingsJson("c-0").replace(
                 """"objectives":[""",
