--- a/src/test/kotlin/umberslip/recovery/archive/RecordArchiveTest.kt
+++ b/src/test/kotlin/umberslip/recovery/archive/RecordArchiveTest.kt
@@ -144,7 +144,7 @@
                 .machine("m3")
                 .assignments.values
                 .filter { it.id != exited.task }
-        scheduler.scheduler.forget(scheduler.machine("m2"), scheduler.now)
+        scheduler.scheduler.releaseTasks(scheduler.machine("m2"), scheduler.now)
         scheduler.heartbeat(
             "m3",
             TestScheduler.ended(exited.task, exited.attempt, ExitCause.DONE),
