--- a/src/main/kotlin/umberslip/leadership/LeaderElection.kt
+++ b/src/main/kotlin/umberslip/leadership/LeaderElection.kt
@@ -168,7 +168,7 @@
      * may renew workers' leases until the end of its grace.
      */
     private fun formerLeaseExpiry(acquiredAt: Duration): Duration {
-        val graceAndLease = timings.stretched(timings.grace + timings.lease)
+        val graceAndLease = timings.withClockDrift(timings.grace + timings.lease)
         return acquiredAt + graceAndLease + timings.margin * 2
     }
 
--- a/src/main/kotlin/umberslip/provisioning/CloudReconciliation.kt
+++ b/src/main/kotlin/umberslip/provisioning/CloudReconciliation.kt
@@ -126,7 +126,7 @@
         val knownMachines = snapshot.machines.map { KnownMachine(it.name, it.provisionedBefore, it.sinceAnyContact) }
         val missing =
             missingMachines
-                ?.of(listRequestedAt, listed, knownMachines)
+                ?.find(listRequestedAt, listed, knownMachines)
                 .orEmpty()
                 .filter { !termination.isPendingOrTerminated(it) }
         if (missing.isEmpty()) return
--- a/src/main/kotlin/umberslip/scheduling/LeaseExpiry.kt
+++ b/src/main/kotlin/umberslip/scheduling/LeaseExpiry.kt
@@ -21,7 +21,7 @@
     private val log = LoggerFactory.getLogger("umberslip.scheduling")
 
     /** The longest time for which a worker may rely on a lease that a follower renewed before the revocation. */
-    private val maxLeaseDuration = timings.stretched(timings.lease) + timings.margin
+    private val maxLeaseDuration = timings.withClockDrift(timings.lease) + timings.margin
 
     /** Checks one machine on every tick; [isZoneUnresponsive] returns whether no machine of its zone has contact. */
     fun check(
--- a/src/main/kotlin/umberslip/scheduling/SchedulerState.kt
+++ b/src/main/kotlin/umberslip/scheduling/SchedulerState.kt
@@ -40,7 +40,7 @@
     private val tasksPerBlock = ProgressRecord.tasksPerBlock(settings.storeLimits.blockBytes)
 
     /** The longest time for which a worker may rely on a renewed lease, given the slowest clock and a margin. */
-    private val maxLeaseDuration = timings.stretched(timings.lease) + timings.margin
+    private val maxLeaseDuration = timings.withClockDrift(timings.lease) + timings.margin
 
     /** Accepted jobs that have not ended, in the order in which this leader learned of them. */
     val jobs = LinkedHashMap<JobId, RunningJob>()
@@ -65,7 +65,7 @@
     private val starvationGuard = StarvationGuard()
     private val assignments =
         AssignmentLifecycle(jobs, machines, teams, cachedImages, starvationGuard, writeAheadLog)
-    internal val gangAssembly = GangAssembly(teams, assignments, settings.workers.gangWait)
+    internal val gangAssembly = GangAssembly(teams, assignments, settings.workers.assemblyTimeout)
     private val dispatchRounds = DispatchRounds(teams, starvationGuard, assignments, gangAssembly)
     private val machineHeartbeats = MachineHeartbeats(instanceTypes, writeAheadLog.pendingRevocations)
     private val heartbeatReconciliation = HeartbeatReconciliation(assignments, failures)
@@ -148,7 +148,7 @@
                 jobObjectives.objectiveDeadlines(spec, submittedAt, submittedAt),
                 jobObjectives.deadlines(spec, submittedAt),
             )
-        job.assemblyTimeout = settings.workers.gangWait
+        job.assemblyTimeout = settings.workers.assemblyTimeout
         job.lastPlaced = now
         job.waitingSince = now
         return job
