--- a/src/test/kotlin/umberslip/sim/ProtocolLimits.kt
+++ b/src/test/kotlin/umberslip/sim/ProtocolLimits.kt
@@ -11,25 +11,25 @@
 
 /**
  * The limits that the protocol publishes for requests to the cloud and the key-value store and for responses to workers
- * and users. Every stand-in refuses what is beyond them and fails its scenario with what these functions say; null
- * where nothing is wrong.
+ * and users. The functions describe what exceeds a limit, or return null if nothing does. The test doubles of these
+ * services refuse such requests, and the scenario fails with the description.
  */
 object ProtocolLimits {
     val MACHINES_PER_REQUEST = 1..50
     const val NAMES_PER_TERMINATION = 100
     const val MACHINES_PER_PAGE = 500
 
-    /** Of a request or of a response to a worker or user, as JSON. */
+    /** The maximum size of a request, or of a response to a worker or user, as JSON. */
     const val BODY_BYTES = 64 * 1024
     const val ENTRIES_PER_PAGE = 1000
 
-    /** Of a page of the key-value store, as JSON. */
+    /** The maximum size of a page of the key-value store, as JSON. */
     const val PAGE_BYTES = 512 * 1024
     private const val TRANSACTION_BYTES = 64 * 1024
     private const val PRECONDITIONS_PER_WRITE = 4
     private val KEY_BYTES = 1..200
 
-    fun provisioning(
+    fun provisioningViolation(
         offer: Offer,
         number: Int,
         instanceTypes: List<InstanceType>,
@@ -43,20 +43,20 @@
         }
     }
 
-    fun termination(machineNames: List<MachineName>): String? {
+    fun terminationViolation(machineNames: List<MachineName>): String? {
         if (machineNames.size <= NAMES_PER_TERMINATION) return null
         return "a termination of ${machineNames.size} machines"
     }
 
-    fun transaction(
+    fun transactionViolation(
         preconditions: List<Precondition>,
         writes: List<Write>,
         limits: StoreSettings,
     ): String? {
         val body =
             mapOf(
-                KeyValueStoreProtocol.PRECONDITIONS to preconditions.map(KeyValueStoreProtocol::precondition),
-                KeyValueStoreProtocol.WRITES to writes.map(KeyValueStoreProtocol::write),
+                KeyValueStoreProtocol.PRECONDITIONS to preconditions.map(KeyValueStoreProtocol::encodePrecondition),
+                KeyValueStoreProtocol.WRITES to writes.map(KeyValueStoreProtocol::encodeWrite),
             )
         val bytes = Documents.jsonSize(body)
         return when {
@@ -65,8 +65,8 @@
                 "a transaction of ${preconditions.size} preconditions"
             bytes > TRANSACTION_BYTES -> "a transaction of $bytes bytes"
             else ->
-                preconditions.firstNotNullOfOrNull { key(it.key) }
-                    ?: writes.firstNotNullOfOrNull { key(it.key) ?: value(it, limits) }
+                preconditions.firstNotNullOfOrNull { keyViolation(it.key) }
+                    ?: writes.firstNotNullOfOrNull { keyViolation(it.key) ?: value(it, limits) }
         }
     }
 
@@ -76,15 +76,15 @@
     ): String? {
         if (write !is Write.Put) return null
         val bytes = Documents.jsonSize(write.data)
-        return if (bytes > limits.valueBytes) "${write.key} takes $bytes bytes" else null
+        return if (bytes > limits.valueBytes) "the value of ${write.key}, of $bytes bytes" else null
     }
 
-    fun key(key: String): String? {
+    fun keyViolation(key: String): String? {
         val bytes = key.toByteArray().size
         return if (bytes in KEY_BYTES && ' ' !in key) null else "a key of $bytes bytes: $key"
     }
 
-    fun response(body: Any?): String? {
+    fun responseViolation(body: Any?): String? {
         val bytes = Documents.jsonSize(body)
         return if (bytes > BODY_BYTES) "a response of $bytes bytes" else null
     }
