--- a/src/main/kotlin/umberslip/scheduling/Assignment.kt
+++ b/src/main/kotlin/umberslip/scheduling/Assignment.kt
@@ -7,7 +7,10 @@
 import umberslip.core.TaskId
 import kotlin.time.Duration
 
-/** The assignment of a task to a machine on which it is or may be. Mutable; used on the leader actor's thread only. */
+/**
+ * The assignment of a task to a machine. It lasts until the task has exited there or is certainly not on the machine.
+ * Mutable; used on the leader actor's thread only.
+ */
 class Assignment(
     val job: RunningJob,
     val index: Int,
--- a/src/main/kotlin/umberslip/scheduling/BatchWriter.kt
+++ b/src/main/kotlin/umberslip/scheduling/BatchWriter.kt
@@ -29,7 +29,7 @@
     private val writeRateLimiter: RateLimiter,
     private val leaderLease: LeaderLease,
     private val resolution: WriteResolution,
-    /** Makes this controller read the records soon; called if a precondition shows that its copy is out of date. */
+    /** Makes this controller read the records soon; called if a failed precondition shows that its copy is old. */
     private val refreshRecords: () -> Unit,
     private val send: (LeaderMessage) -> Unit,
 ) {
@@ -93,8 +93,8 @@
     }
 
     /**
-     * Writes the batch. Returns null if the batch was not applied, or if its outcome was indeterminate and has been
-     * resolved.
+     * Writes the batch and returns the store's result. Returns null if the store refused the batch, or if it sent no
+     * response. In the latter case, the indeterminate outcome is resolved first unless this controller no longer leads.
      */
     private suspend fun write(
         scheduler: SchedulerState,
--- a/src/main/kotlin/umberslip/scheduling/DependencyGraph.kt
+++ b/src/main/kotlin/umberslip/scheduling/DependencyGraph.kt
@@ -138,12 +138,12 @@
         while (open.isNotEmpty()) {
             val job = open.removeFirst()
             if (job.dependencyCancelled || job.cancelled) continue
-            val own = inherited[job] ?: nothingInherited(job)
-            val deadlines = (job.deadlines + own.deadlines).map { it - job.expectedRunTime }
+            val fromDependents = inherited[job] ?: nothingInherited(job)
+            val deadlines = (job.deadlines + fromDependents.deadlines).map { it - job.expectedRunTime }
             for (id in job.pendingDependencies) {
                 val dependency = jobs[id] ?: continue
                 val current = inherited[dependency] ?: nothingInherited(dependency)
-                val merged = merge(current, own.priority, deadlines)
+                val merged = merge(current, fromDependents.priority, deadlines)
                 if (merged == current) continue
                 inherited[dependency] = merged
                 open.addLast(dependency)
--- a/src/main/kotlin/umberslip/scheduling/Dispatcher.kt
+++ b/src/main/kotlin/umberslip/scheduling/Dispatcher.kt
@@ -66,8 +66,8 @@
     }
 
     /**
-     * Returns the first job in the queue that needs only resources, if it has been the first one and none of its tasks
-     * has been placed since before [since]; otherwise null.
+     * Returns the first job in the queue that needs only resources, if it is blocked: it became the first one before
+     * [since], and none of its tasks has been placed since then. Otherwise returns null.
      */
     fun headBlockedSince(
         since: Duration,
@@ -91,7 +91,7 @@
             job.retryAfter <= now &&
             quota.isWithinLimit(job.resources)
 
-    /** Restarts the wait after which the head of the queue counts as blocked, since a reservation ended unused. */
+    /** Restarts the wait after which the head of the queue counts as blocked; called when a reservation ends unused. */
     fun restartHeadTimer(now: Duration) {
         headSince = now
     }
@@ -168,8 +168,8 @@
     }
 
     /**
-     * Whether the job may be placed as far as draining is concerned. A draining machine takes only tasks that need no
-     * image fetch and end while the machine stays for its running tasks anyway.
+     * Whether the job may be placed on the machine if the machine is draining. A draining machine takes only tasks that
+     * need no image fetch and end within the time for which the machine is kept for its running tasks.
      *
      * A job without a placement for [MAX_WAIT_FOR_USABLE_MACHINE] may use any draining machine. The provisioning plan
      * may count on another machine that cannot take the job at present, and without this exception the job would wait
--- a/src/main/kotlin/umberslip/scheduling/FailureTracker.kt
+++ b/src/main/kotlin/umberslip/scheduling/FailureTracker.kt
@@ -45,7 +45,7 @@
         job.isQuarantined = false
     }
 
-    /** Counts the failure of a task of the job on the machine. It ran for [ranFor], zero if that is not known. */
+    /** Counts the failure of a task of the job on the machine. [ranFor] is zero if its run time is not known. */
     fun failed(
         machine: Machine,
         job: RunningJob,
@@ -122,7 +122,7 @@
         val healthyJobFailures = relevantFailures.filterKeys { id -> jobs[id]?.failures?.isJobHealthy == true }
         if (healthyJobFailures.values.sumOf { it.count } >= MIN_FAILURES) return true
         if (relevantFailures.size < MIN_JOBS) return false
-        // Jobs that are neither healthy nor quarantined yet get time to show either by their tasks on other machines.
+        // A job may be neither healthy nor quarantined yet. Its tasks on other machines get time to show which it is.
         return healthyJobFailures.isNotEmpty() || relevantFailures.values.all { now - it.first >= OBSERVATION_TIME }
     }
 
--- a/src/main/kotlin/umberslip/scheduling/FairShare.kt
+++ b/src/main/kotlin/umberslip/scheduling/FairShare.kt
@@ -6,9 +6,9 @@
  * Computes how many processors a team may claim for its work of one priority.
  *
  * The team may claim what its work requests within its guarantee. All guaranteed work and the other teams' work of
- * higher priority are deducted from the cluster's capacity. The team and the other teams that request more than that
- * share the rest equally. The team's own work of higher priority is not deducted, since tasks of one team free
- * resources for one another. Pure.
+ * higher priority are deducted from the cluster's capacity. The rest is shared equally by the team and the other teams
+ * that request more than what is deducted for them. The team's own work of higher priority is not deducted, since tasks
+ * of one team free resources for one another. Pure.
  */
 internal class FairShare(
     private val scheduler: SchedulerState,
--- a/src/main/kotlin/umberslip/scheduling/HeartbeatDisposition.kt
+++ b/src/main/kotlin/umberslip/scheduling/HeartbeatDisposition.kt
@@ -6,7 +6,7 @@
     ACCEPTED,
 
     /**
-     * The heartbeat carries an older fencing token. It may be a delayed copy and does not even show that its machine is
+     * The heartbeat carries an older fencing token. It may be a delayed copy, so it does not show that its machine is
      * up. It is answered with the leader's term alone; the next heartbeat of a live worker then carries that term.
      */
     TOKEN_BEHIND,
--- a/src/main/kotlin/umberslip/scheduling/HeartbeatReconciliation.kt
+++ b/src/main/kotlin/umberslip/scheduling/HeartbeatReconciliation.kt
@@ -91,7 +91,7 @@
         machine.exitsAwaitingClear.entries.removeIf { (task, exit) -> machine.reported[task]?.attempt != exit.attempt }
     }
 
-    /** Returns the recorded tasks that the heartbeat does not list. Allocates no list for none, the usual case. */
+    /** Returns the recorded tasks that the heartbeat does not list. Allocates no list if there are none, as usual. */
     private fun unreportedAssignments(machine: Machine): List<Assignment> {
         var unreported: ArrayList<Assignment>? = null
         for (assignment in machine.assignments.values) {
--- a/src/main/kotlin/umberslip/scheduling/HeartbeatResponder.kt
+++ b/src/main/kotlin/umberslip/scheduling/HeartbeatResponder.kt
@@ -15,7 +15,7 @@
 
 /**
  * Answers workers' heartbeats. The response to an accepted heartbeat is delayed until the starts of the tasks that were
- * placed on it are recorded, but not for much longer than [MAX_RESPONSE_TIME]. Confined to the leader actor.
+ * placed on the machine are recorded, but not for much longer than [MAX_RESPONSE_TIME]. Confined to the leader actor.
  */
 internal class HeartbeatResponder(
     private val leaderLease: LeaderLease,
@@ -71,7 +71,7 @@
         return false
     }
 
-    /** Holds back the response to [heartbeat], and refuses a former heartbeat whose response is still pending. */
+    /** Holds back the response to [heartbeat], and refuses the machine's earlier heartbeat if it is still pending. */
     private fun holdResponse(
         heartbeat: Heartbeat,
         respond: (Response) -> Unit,
--- a/src/main/kotlin/umberslip/scheduling/JobObjectives.kt
+++ b/src/main/kotlin/umberslip/scheduling/JobObjectives.kt
@@ -59,7 +59,10 @@
     }
 
     private companion object {
-        /** Applies to jobs without a deadline. They come after those that have one, as they become runnable. */
+        /**
+         * Applies to jobs with neither a deadline nor an objective. They come after those that have one, in the order
+         * in which they become runnable.
+         */
         val DEFAULT_DEADLINE = 1.hours
     }
 }
--- a/src/main/kotlin/umberslip/scheduling/LargeJobAdmission.kt
+++ b/src/main/kotlin/umberslip/scheduling/LargeJobAdmission.kt
@@ -12,10 +12,11 @@
 /**
  * Decides for which starving jobs with large tasks machines are reserved, and when.
  *
- * Machines are reserved as late as the job can still start all its tasks within [START_WITHIN], since most jobs start
- * in time by their position in the queue. The job must also fit, as a whole, into its team's [FairShare]. Reservations
- * for a larger job would take resources from guaranteed work, from other teams and from their work of higher priority.
- * Such a job cannot have all its tasks running in any case, since the share never holds them together.
+ * Machines are reserved at the latest time at which the job can still start all its tasks within [START_WITHIN], since
+ * most jobs start in time by their position in the queue. The job must also fit, as a whole, into its team's
+ * [FairShare]. Reservations for a larger job would take resources from guaranteed work, from other teams and from their
+ * work of higher priority.
+ * Such a job cannot run all its tasks at the same time in any case, since together they exceed the share.
  * Pure: time is an input.
  */
 internal class LargeJobAdmission(
@@ -116,8 +117,8 @@
 
     companion object {
         /**
-         * A reservation that lasts longer is held up by tasks that run too long. Machines that are expected to have
-         * room only after this time are not reserved.
+         * A reservation ends after this time, since tasks on its machine then run too long. Machines that are expected
+         * to have room only after this time are not reserved.
          */
         val RESERVATION_TIMEOUT = 60.seconds
 
--- a/src/main/kotlin/umberslip/scheduling/LargeTaskReservations.kt
+++ b/src/main/kotlin/umberslip/scheduling/LargeTaskReservations.kt
@@ -141,7 +141,10 @@
     private companion object {
         val INTERVAL = 1.seconds
 
-        /** The rest of the machines take any work, so that no other job has to wait until all reservations end. */
+        /**
+         * The largest share of the usable machines that is reserved for large tasks, except that one machine always may
+         * be. The others take any work, so that no other job has to wait until all reservations end.
+         */
         const val MAX_RESERVED_SHARE = 0.25
 
         /** Bounds the work of one run, with [MAX_MACHINES_CONSIDERED]; the next run continues with the rest. */
--- a/src/main/kotlin/umberslip/scheduling/Leader.kt
+++ b/src/main/kotlin/umberslip/scheduling/Leader.kt
@@ -26,9 +26,9 @@
 /**
  * The actor of the leader: receives the workers' heartbeats, responds with commands, and writes the records.
  *
- * The actor owns the [SchedulerState] of the current term, which makes the scheduling decisions. There is none while
- * this controller does not lead. Requests to the key-value store run in coroutines of their own, which send the actor a
- * message when they are done.
+ * The actor owns the [SchedulerState] of the current term, which makes the scheduling decisions. It has no such state
+ * while this controller does not lead. Requests to the key-value store run in coroutines of their own, which send the
+ * actor a message when they are done.
  */
 class Leader(
     private val scope: CoroutineScope,
@@ -284,7 +284,7 @@
 
     /**
      * Marks the machine as terminating unless it has tasks and [evenIfBusy] is false; no commands are sent to it from
-     * then on. Returns whether the machine may be terminated, as a machine that the leader does not know always may.
+     * then on. Returns whether the machine may be terminated. A machine that the leader does not know always may be.
      */
     private fun markTerminatingIfAllowed(
         name: MachineName,
--- a/src/main/kotlin/umberslip/scheduling/LeaderMessage.kt
+++ b/src/main/kotlin/umberslip/scheduling/LeaderMessage.kt
@@ -85,8 +85,9 @@
     // ---- from the leader's own components ----
 
     /**
-     * The write of [batch] ended. [result] is null if the batch was not applied, or if its outcome was indeterminate
-     * and has been resolved. The result concerns only [scheduler], which may be the state of a former term.
+     * The write of [batch] ended. [result] is null if the store refused the batch, if the write failed unexpectedly, or
+     * if the outcome was indeterminate and has been resolved. The result concerns only [scheduler], which may be the
+     * state of a former term.
      */
     class WriteCompleted(
         val scheduler: SchedulerState,
--- a/src/main/kotlin/umberslip/scheduling/LogComposer.kt
+++ b/src/main/kotlin/umberslip/scheduling/LogComposer.kt
@@ -10,7 +10,7 @@
     private val transaction: TransactionBuilder,
     private val pending: PendingWrites,
     private val slots: LogSlots,
-    /** The limit of the transaction's preconditions with those on job records, before those on slots are added. */
+    /** How many preconditions the transaction may have once those on job records, but not those on slots, are added. */
     private val maxPreconditions: Int,
     private val now: Duration,
 ) {
