--- a/src/main/kotlin/umberslip/scheduling/Machine.kt
+++ b/src/main/kotlin/umberslip/scheduling/Machine.kt
@@ -49,7 +49,7 @@
     /** The tasks in the newest heartbeat that carried the leader's own term. */
     var reported: Map<TaskId, ReportedTask> = emptyMap()
 
-    /** The images of its tasks, and the fetches that are still expected. */
+    /** The images of the machine's tasks, and the image fetches that are still expected. */
     val images = MachineImages()
     private val heartbeatSize = HeartbeatSize()
 
@@ -73,7 +73,7 @@
     /** When a follower last reported that it renewed the lease; only a hint, since these reports are delayed. */
     var renewedByFollowerAt: Duration? = null
 
-    /** When the records that name the machine were loaded; zero if none did. */
+    /** When the records that name the machine were loaded; zero if no record names it. */
     var loadedAt: Duration = Duration.ZERO
 
     /** The time by which every lease that this leader or a former one may have renewed has expired. */
@@ -87,7 +87,7 @@
     /** When the cloud will interrupt this spot instance; null without an interruption notice. */
     var interruptionAt: Duration? = null
 
-    /** Whether the provisioning plan does not need the machine, which is then terminated once it is empty. */
+    /** Whether the machine is to be terminated once it is empty, since the provisioning plan does not need it. */
     var isDraining = false
 
     /** Whether termination of the machine was requested. It gets no more commands from then on. */
@@ -100,10 +100,10 @@
     var reservation: Reservation? = null
         private set
 
-    /** The job that the machine is reserved for. */
+    /** The job that the machine is reserved for; null if it is not reserved. */
     val reservedFor: RunningJob? get() = reservation?.job
 
-    /** Nothing is placed before this time, since the worker refused a task. */
+    /** The time before which nothing is placed on the machine, set when the worker refuses a task. */
     var noPlacementUntil: Duration = Duration.ZERO
 
     /** The failures of each job on this machine since a task of any job last succeeded here. */
@@ -233,7 +233,7 @@
     }
 
     /**
-     * Whether a further task of the job fits. [exitedTasks] is the number of removed tasks that heartbeats list until
+     * Whether a further task of the job fits. [exitedTasks] is the number of exited tasks that heartbeats list until
      * they are cleared.
      */
     fun fits(
--- a/src/main/kotlin/umberslip/scheduling/MachineHeartbeats.kt
+++ b/src/main/kotlin/umberslip/scheduling/MachineHeartbeats.kt
@@ -26,22 +26,28 @@
         machine.heartbeatVersion = heartbeat.heartbeatVersion
     }
 
-    /** Sets the zone of the machine and of its tasks. The records do not name it, so its first heartbeat does. */
+    /**
+     * Sets the zone of the machine and of its tasks. The zone of a machine that only the records name is not known
+     * until its first heartbeat.
+     */
     private fun setZone(
         machine: Machine,
         zone: String,
     ) {
         machine.zone = zone
-        for (former in machine.assignments.values.toList()) {
-            val replacement = former.withZone(zone)
-            former.job.unassign(former)
-            machine.remove(former)
-            former.job.assign(replacement)
+        for (assignment in machine.assignments.values.toList()) {
+            val replacement = assignment.withZone(zone)
+            assignment.job.unassign(assignment)
+            machine.remove(assignment)
+            assignment.job.assign(replacement)
             machine.add(replacement)
         }
     }
 
-    /** Notes contact with the machine. Only a machine that receives responses counts as up. */
+    /**
+     * Notes a heartbeat of the machine. Only a machine that receives responses counts as up, so only then is a
+     * revocation of its lease renewal withdrawn.
+     */
     fun recordContact(
         machine: Machine,
         now: Duration,
@@ -64,7 +70,7 @@
     }
 
     /**
-     * Applies the interruption notice of a heartbeat. Its time counts from the first heartbeat that carries the notice;
+     * Applies the interruption notice of a heartbeat. Its period runs from the first heartbeat that carries the notice;
      * a heartbeat without a notice withdraws it.
      */
     fun applyInterruptionNotice(
--- a/src/main/kotlin/umberslip/scheduling/MachineReservations.kt
+++ b/src/main/kotlin/umberslip/scheduling/MachineReservations.kt
@@ -28,7 +28,7 @@
         }
         if (useful.isNotEmpty()) return
         // Only the head of the queue can be waiting for a large enough gap; the jobs behind it wait for their turn.
-        val job = team.headBlockedSince(now - STARVING_AFTER, now) ?: return
+        val job = team.headBlockedSince(now - RESERVE_AFTER, now) ?: return
         val machine =
             scheduler.machines.values
                 .filter { it.reservation == null && it.mayBeReservedFor(job) }
@@ -39,10 +39,11 @@
             "machine reserved for a starving job: machine={} job={} waited_at_least={}",
             machine.name.value,
             job.spec.id.value,
-            STARVING_AFTER,
+            RESERVE_AFTER,
         )
     }
 
+    /** Whether the reservation was made here for [team]. Those of [LargeTaskReservations] yield to urgent work. */
     private fun isHeadReservation(
         reservation: Reservation?,
         team: Dispatcher,
@@ -66,7 +67,7 @@
 
     private companion object {
         /** How long the head of the queue waits for a large enough gap before a machine is reserved for it. */
-        val STARVING_AFTER = 30.seconds
+        val RESERVE_AFTER = 30.seconds
 
         /** Bounds how long other jobs are kept off the machine by a reservation that never becomes usable. */
         val RESERVATION_TIMEOUT = 60.seconds
--- a/src/main/kotlin/umberslip/scheduling/Preemption.kt
+++ b/src/main/kotlin/umberslip/scheduling/Preemption.kt
@@ -38,7 +38,7 @@
         val usable = scheduler.machines.values.filter { it.isUsable }
         // Tasks that are already being stopped free resources for the first claimants.
         var stoppingCpus = victims.sumOf(::stoppingCpus)
-        // The remaining claimants are handled in later runs, once these have been placed.
+        // The remaining claimants are handled in later runs, once the first ones no longer wait.
         for (claimant in claimants.take(MAX_CLAIMANTS)) {
             if (!claimant.team.quota.isWithinLimit(claimant.job.resources)) continue
             if (victims.none { mayPreempt(claimant, it) }) continue
--- a/src/main/kotlin/umberslip/scheduling/ReconciliationObserver.kt
+++ b/src/main/kotlin/umberslip/scheduling/ReconciliationObserver.kt
@@ -35,9 +35,9 @@
     )
 }
 
-/** Is notified when this controller is elected and when it steps down. Called on the leader actor's thread. */
+/** A listener for when this controller is elected and when it steps down. Called on the leader actor's thread. */
 interface LeaderTermListener {
-    /** Called when this controller is elected. Returns the observer of the new term; null if it is not observed. */
+    /** Called when this controller is elected. Returns the observer of the new term, or null if there is none. */
     fun elected(
         term: Term,
         now: Duration,
--- a/src/main/kotlin/umberslip/scheduling/RecordResolution.kt
+++ b/src/main/kotlin/umberslip/scheduling/RecordResolution.kt
@@ -23,7 +23,10 @@
 ) {
     private val log = LoggerFactory.getLogger("umberslip.scheduling")
 
-    /** Applies the [version] of a key, null if the key does not exist, and its [data], null if it has no contents. */
+    /**
+     * Applies the stored state of [key]. [version] is null if the key does not exist; [data] is null if it has no
+     * contents.
+     */
     fun resolve(
         key: String,
         version: Version?,
--- a/src/main/kotlin/umberslip/scheduling/RunTimeEstimate.kt
+++ b/src/main/kotlin/umberslip/scheduling/RunTimeEstimate.kt
@@ -4,7 +4,7 @@
 import kotlin.time.Duration.Companion.seconds
 import kotlin.time.DurationUnit
 
-/** The expected run time of a job's tasks: a moving average over completed tasks, or the user's estimate before any. */
+/** The expected run time of a job's tasks: a moving average over completed tasks, or at first the user's estimate. */
 internal class RunTimeEstimate(
     expectedSeconds: Double,
 ) {
@@ -13,7 +13,7 @@
     var seconds: Double = expectedSeconds.coerceAtLeast(MIN_EXPECTED_SECONDS)
         private set
 
-    /** [seconds] as a duration; kept, since it is read for every task that is considered for placement. */
+    /** [seconds] as a duration; cached, since it is read for every task that is considered for placement. */
     var duration: Duration = seconds.seconds
         private set
 
--- a/src/main/kotlin/umberslip/scheduling/RunningJob.kt
+++ b/src/main/kotlin/umberslip/scheduling/RunningJob.kt
@@ -81,7 +81,7 @@
     val zones = HashMap<String, Int>()
     private val blocks = arrayOfNulls<ProgressBlock>((spec.tasks + tasksPerBlock - 1) / tasksPerBlock)
 
-    /** Tasks that were on a machine and wait again. The other waiting tasks start at index [firstNeverAssigned]. */
+    /** Tasks that were on a machine and wait again. Other waiting tasks have index [firstNeverAssigned] or higher. */
     private val requeued = TreeSet<Int>()
     private var firstNeverAssigned = 0
 
@@ -117,7 +117,7 @@
      */
     var isQuarantined = false
 
-    /** When a task of the job was last placed; until then, when the job became known to the leader or runnable. */
+    /** When a task of the job was last placed; until then, the same as [waitingSince]. */
     var lastPlaced: Duration = Duration.ZERO
 
     /** When the job became known to the leader, or runnable if that was later. */
@@ -137,7 +137,7 @@
     /** The time before which the gang is not assembled again. */
     var nextAssemblyAt: Duration = Duration.ZERO
 
-    /** The last dependency has succeeded: the objectives of the job count from [now]. */
+    /** Notes that the last dependency has succeeded. The objectives of the job count from [now]. */
     fun becomeRunnable(
         ownObjectiveDeadlines: List<Duration>,
         now: Duration,
@@ -177,7 +177,7 @@
         objectiveDeadlines.firstOrNull { now + expectedRunTime <= it }
             ?: (objectiveDeadlines.last() + ALL_MISSED_DELAY)
 
-    /** A task completed after [runTime]; updates the expected run time. */
+    /** Updates the expected run time after a task has completed in [runTime]. */
     fun runTimeObserved(runTime: Duration) = this.runTime.add(runTime)
 
     /** Whether another task may run on [machine], given the zones of the job's other tasks. */
@@ -187,7 +187,7 @@
         if (machine.spot && !spec.spot) return false
         if (spec.oneZone && zones.isNotEmpty() && machine.zone !in zones) return false
         if (!spec.spread) return true
-        // Machines that are known from the records only have no known zone yet and may be in this one.
+        // Machines that only the records name have no known zone yet and may be in this one.
         return (zones[machine.zone] ?: 0) + (zones[""] ?: 0) < spec.maxPerZone
     }
 
@@ -201,7 +201,7 @@
         requeued.remove(index)
     }
 
-    /** Returns the index of the next task to place, without placing it; null if none may be placed. */
+    /** Returns the index of the next task to place, without placing it, or null if none may be placed. */
     fun nextTask(): Int? {
         if (cancelled || isBlocked) return null
         if (requeued.isNotEmpty()) return requeued.first()
--- a/src/main/kotlin/umberslip/scheduling/StarvationGuard.kt
+++ b/src/main/kotlin/umberslip/scheduling/StarvationGuard.kt
@@ -14,7 +14,7 @@
     /** Jobs with tasks to place, the longest waiting first. */
     private val queue = TreeSet(compareBy<RunningJob>({ it.runnableSince }, { it.spec.id.value }))
 
-    /** Processors of which starving jobs may still be dispatched out of turn; negative if they got more than due. */
+    /** How many processors starving jobs may still get out of turn; negative if they got more than their share. */
     private var creditCpus = 0.0
 
     /** Adds the job to the queue if it has tasks to place; otherwise removes it. */
@@ -43,7 +43,7 @@
     }
 
     /**
-     * Updates the credit after a task of [job] was placed. [outOfTurn] tells that the job was placed because it was
+     * Updates the credit after a task of [job] was placed. [outOfTurn] is true if the job was selected because it was
      * starving, not by its priority.
      */
     fun recordDispatch(
--- a/src/main/kotlin/umberslip/scheduling/TransactionBudget.kt
+++ b/src/main/kotlin/umberslip/scheduling/TransactionBudget.kt
@@ -26,7 +26,7 @@
         /** The key-value store accepts 64 KiB. The size of a batch is only estimated, so this leaves a margin. */
         const val MAX_TRANSACTION_BYTES = 50_000
 
-        /** However often the key-value store rejects a batch, writes continue in batches of at least this size. */
+        /** The least fraction of the limits that is used, however often the key-value store rejects a batch. */
         const val MIN_USED_FRACTION = 0.125
 
         /** Enough that anything that is due fits into a transaction of its own. */
--- a/src/main/kotlin/umberslip/scheduling/TransactionBuilder.kt
+++ b/src/main/kotlin/umberslip/scheduling/TransactionBuilder.kt
@@ -59,7 +59,7 @@
         bytes += machineNames.sumOf { it.value.length + MACHINE_NAME_OVERHEAD_BYTES }
     }
 
-    /** Deletes the job's record and writes its outcome, unless the outcome was already written by its cancellation. */
+    /** Deletes the job's record. Also writes the job's outcome, unless its cancellation has already written it. */
     fun finishJob(job: RunningJob) {
         val key = Keys.job(job.spec.id)
         val outcome = if (job.cancelled || job.dependencyCancelled) JobOutcome.CANCELLED else JobOutcome.DONE
--- a/src/main/kotlin/umberslip/scheduling/WorkerContact.kt
+++ b/src/main/kotlin/umberslip/scheduling/WorkerContact.kt
@@ -13,7 +13,7 @@
 
     /**
      * Whether the leader has lost contact with nearly all machines that had contact in this term, for at least
-     * [MIN_LOST_TIME]. Then it is the leader that cannot be reached, since neither the partition of one zone nor a wave
+     * [MIN_LOST_TIME]. In that case the leader itself is cut off, since neither the partition of one zone nor a series
      * of machine losses affects all machines at once.
      */
     fun isLost(now: Duration): Boolean {
--- a/src/main/kotlin/umberslip/scheduling/WriteAheadLog.kt
+++ b/src/main/kotlin/umberslip/scheduling/WriteAheadLog.kt
@@ -59,7 +59,7 @@
     }
 
     /**
-     * Queues the exit of a task, which exited or is certainly not on its machine, to be recorded. If its start was
+     * Queues the exit of a task to be recorded. The task exited or is certainly not on its machine. If its start was
      * never recorded, no worker knows of the task, and its exit is recorded only if it is [done].
      */
     fun ended(
@@ -77,7 +77,7 @@
         return exit
     }
 
-    /** Updates whether the job's outcome is to be written, after the job may have become terminal or ceased to be. */
+    /** Queues the job's outcome to be written if the job is terminal; otherwise removes it from the queue. */
     fun jobChanged(job: RunningJob) {
         if (job.isTerminal) pending.finishedJobs += job else pending.finishedJobs -= job
     }
@@ -132,7 +132,7 @@
         return transaction.build(leaderVersion)
     }
 
-    /** Takes a batch that the key-value store applied. Returns the machines that have newly recorded starts. */
+    /** Updates the state after the store has applied [batch]. Returns the machines that have newly recorded starts. */
     fun applied(
         batch: WriteBatch,
         version: Version,
@@ -177,8 +177,8 @@
     }
 
     /**
-     * Takes a batch that the key-value store did not apply. Its contents go into later batches; only the obsolete keys
-     * have to be queued again for that, since everything else is still pending.
+     * Requeues the contents of a batch that the key-value store did not apply, for later batches. Only the obsolete
+     * keys have to be added again, since everything else is still pending.
      */
     fun notApplied(batch: WriteBatch) {
         pending.obsoleteKeys.addAll(batch.obsoleteKeys)
@@ -191,7 +191,7 @@
     }
 
     /**
-     * Takes the [version] that [key] has in the key-value store, null if the key does not exist. Called for a key whose
+     * Sets the [version] that [key] has in the key-value store, null if the key does not exist. Called for a key whose
      * precondition failed, or whose write had an indeterminate outcome.
      */
     fun resolve(
