--- a/src/main/kotlin/umberslip/leadership/LeaderElection.kt
+++ b/src/main/kotlin/umberslip/leadership/LeaderElection.kt
@@ -83,7 +83,7 @@
         when {
             leader == null && shouldDeferToPeers() -> delay(POLL_INTERVAL)
             leader == null -> acquireLeaderRecord(records)
-            leader.member == member -> endLeaseOfPreviousProcess(leader)
+            leader.member == member -> endLeaseOfFormerProcess(leader)
             else -> delay(POLL_INTERVAL)
         }
     }
@@ -99,7 +99,7 @@
      * process that acquired the lease has ended and there is no need to wait until its lease expires. Writes of that
      * process that arrive late fail on the version of the leader's record.
      */
-    private suspend fun endLeaseOfPreviousProcess(leader: LeaderRecord) {
+    private suspend fun endLeaseOfFormerProcess(leader: LeaderRecord) {
         log.info("ending the lease of this member's former process: term={}", leader.term.value)
         store.endLease(leader.lease)
         recordWatcher.confirm()
@@ -110,11 +110,11 @@
     private suspend fun acquireLeaderRecord(records: RecordView) {
         // The view is live and may change at each suspension point. The term and the version in the precondition must
         // come from the same state, so both are read here, before the first suspension.
-        val previousTerm = records.term
-        val term = previousTerm?.value?.next() ?: Term.FIRST
+        val formerTerm = records.term
+        val term = formerTerm?.value?.next() ?: Term.FIRST
         val sentAt = clock.now()
         val lease = store.openLease(timings.leaderLeaseDuration)
-        val result = writeLeaderRecord(term, previousTerm?.version ?: Version.NONE, lease)
+        val result = writeLeaderRecord(term, formerTerm?.version ?: Version.NONE, lease)
         if (result !is TransactionResult.Applied) {
             if (result is TransactionResult.Rejected) {
                 throw ServiceUnavailableException("the leader's record was rejected: ${result.reason}")
@@ -130,11 +130,11 @@
 
     private suspend fun writeLeaderRecord(
         term: Term,
-        previousTermVersion: Version,
+        formerTermVersion: Version,
         lease: StoreLease,
     ): TransactionResult =
         store.compareAndSwap(
-            listOf(Precondition(Keys.LEADER, Version.NONE), Precondition(Keys.TERM, previousTermVersion)),
+            listOf(Precondition(Keys.LEADER, Version.NONE), Precondition(Keys.TERM, formerTermVersion)),
             listOf(
                 Write.Put(Keys.LEADER, LeaderRecord(member, term, lease).toMap(), lease),
                 Write.Put(Keys.TERM, mapOf("term" to term.value)),
--- a/src/main/kotlin/umberslip/leadership/LeaderLease.kt
+++ b/src/main/kotlin/umberslip/leadership/LeaderLease.kt
@@ -106,7 +106,7 @@
      * controller, so this one backs off from elections for a while.
      */
     fun lostContactWithWorkers(now: Duration) {
-        markLost("no worker reaches this controller")
+        markLost("hardly any worker reaches this controller")
         electionBackOffUntil = now + ELECTION_BACK_OFF
     }
 
@@ -176,7 +176,10 @@
          */
         val ELECTION_BACK_OFF = 30.seconds
 
-        /** The minimum duration is longer than peers take to learn that the store no longer serves one of them. */
+        /**
+         * How long the conditions of [isCutOffFromStore] must have held. This is longer than peers take to learn that
+         * the store no longer serves one of them.
+         */
         val MIN_CUT_OFF = 2.seconds
         val LOG = LoggerFactory.getLogger("umberslip.leadership")
     }
--- a/src/main/kotlin/umberslip/leadership/LeadershipListener.kt
+++ b/src/main/kotlin/umberslip/leadership/LeadershipListener.kt
@@ -8,8 +8,8 @@
     /**
      * Called when this controller has become the leader.
      *
-     * @param records the records as read after the leader's record was acquired, which includes all that former leaders
-     *   wrote
+     * @param records the records as read after the leader's record was acquired; they include everything that former
+     *   leaders wrote
      * @param formerLeaseExpiry the time by which every worker's lease that a former leader may have renewed has
      *   expired
      */
