--- a/src/main/kotlin/umberslip/provisioning/BootingMachines.kt
+++ b/src/main/kotlin/umberslip/provisioning/BootingMachines.kt
@@ -70,7 +70,7 @@
     }
 
     /**
-     * Resets the state for a new leader's term to the machines that the previous leader persisted; [record] is null if
+     * Resets the state for a new leader's term to the machines that the former leader persisted; [record] is null if
      * there is no record.
      */
     fun restore(record: Any?) {
@@ -130,7 +130,10 @@
         requested = Instant.ofEpochMilli(epochMillisAtClockZero + machine.requestedAt.inWholeMilliseconds),
     )
 
-    /** [now] and [nowEpochMillis] are the same moment on the monotonic clock and on the wall clock. */
+    /**
+     * Converts the wall-clock time of a recorded machine to the monotonic clock. [now] and [nowEpochMillis] are the
+     * same moment on the monotonic clock and on the wall clock.
+     */
     private fun fromRecorded(
         recorded: RecordedBootingMachine,
         now: Duration,
--- a/src/main/kotlin/umberslip/provisioning/CapacitySummary.kt
+++ b/src/main/kotlin/umberslip/provisioning/CapacitySummary.kt
@@ -5,7 +5,8 @@
 import umberslip.scheduling.MachineSnapshot
 
 /**
- * Logs the capacity and its use in one line. All values are in processors, but `waiting_cpu_s` in processor seconds.
+ * Logs the capacity and its use in one line. All values are numbers of processors, except for `waiting_cpu_s`, which is
+ * in processor seconds.
  */
 internal fun logCapacity(
     log: Logger,
--- a/src/main/kotlin/umberslip/provisioning/CloudReconciliation.kt
+++ b/src/main/kotlin/umberslip/provisioning/CloudReconciliation.kt
@@ -58,7 +58,7 @@
         terminateMissing(names, snapshot, now)
         // A machine that is not listed, although it was requested long enough ago, has been terminated. It may come
         // from the record of a former leader.
-        booting.removeAll { it.name !in names && now - it.requestedAt > settings.listLag * MAX_LIST_LAGS }
+        booting.removeAll { it.name !in names && now - it.requestedAt > settings.listLag * MAX_LAGS_UNTIL_LISTED }
         val knownMachines = snapshot.machines.associateBy { it.name }
         for (machine in listed) reconcile(machine, knownMachines[machine.name], now)
     }
@@ -184,8 +184,11 @@
         /** How long a new leader waits for a usable list. */
         val FIRST_LIST_TIMEOUT = 15.seconds
 
-        /** The list lags by at most twice the nominal lag; the third lag allows for the round trip to the cloud. */
-        const val MAX_LIST_LAGS = 3
+        /**
+         * The cloud lists a machine within this many nominal lags after its request. The list lags by at most twice the
+         * nominal lag; the third lag allows for the round trip to the cloud.
+         */
+        const val MAX_LAGS_UNTIL_LISTED = 3
 
         /** A machine that has been booting for this many times the usual boot time will not come up. */
         const val MAX_BOOT_FACTOR = 3
--- a/src/main/kotlin/umberslip/provisioning/OfferBackoff.kt
+++ b/src/main/kotlin/umberslip/provisioning/OfferBackoff.kt
@@ -20,13 +20,13 @@
     private val backedOffUntil = HashMap<Offer, Duration>()
     private val rejections = HashMap<Offer, Rejections>()
 
-    /** Whether the offer must not be requested at [now]. */
+    /** Returns whether the offer must not be requested at [now]. */
     fun isBackedOff(
         offer: Offer,
         now: Duration,
     ): Boolean = (backedOffUntil[offer] ?: Duration.ZERO) > now
 
-    /** Whether any offer is backed off because a request for it was rejected. */
+    /** Returns whether any offer is backed off because a request for it was rejected. */
     fun hasRejectedOffer(now: Duration): Boolean = rejections.keys.any { isBackedOff(it, now) }
 
     /** Returns the most machines to ask for in one request. */
--- a/src/main/kotlin/umberslip/provisioning/Provisioner.kt
+++ b/src/main/kotlin/umberslip/provisioning/Provisioner.kt
@@ -130,7 +130,7 @@
     }
 
     /**
-     * Starts a leader's term with the record of booting machines that the previous leader persisted. Other machines
+     * Starts a leader's term with the record of booting machines that the former leader persisted. Other machines
      * become known from the cloud's list and from heartbeats. [isFirstTerm] says whether there has never been a leader
      * before. Must be called on the thread of the loop.
      */
@@ -187,7 +187,7 @@
         if (instanceTypesReadAt?.let { clock.now() - it <= INSTANCE_TYPES_INTERVAL } == true) return
         try {
             val offered = cloud.instanceTypes()
-            if (offered.isEmpty()) throw MalformedMessageException("no instance type")
+            if (offered.isEmpty()) throw MalformedMessageException("the cloud listed no instance types")
             instanceTypes = offered.associateBy { it.label }
             instanceTypesReadAt = clock.now()
             onInstanceTypes(offered)
@@ -238,8 +238,9 @@
     }
 
     /**
-     * Has the leader drain machines, and terminates those that are not needed or unresponsive. Returns the exception if
-     * the termination failed at the cloud, instead of throwing it, because provisioning does not depend on it.
+     * Has the leader drain machines, and terminates machines that are unresponsive or no longer needed. If the
+     * termination failed at the cloud, returns the exception instead of throwing it, because provisioning does not
+     * depend on the termination.
      */
     private suspend fun scaleIn(
         snapshot: ClusterSnapshot,
@@ -263,8 +264,8 @@
         val MIN_ROUND = 700.milliseconds
 
         /**
-         * A round lasts at least this many times as long as its planning, so that planning takes at most one part in
-         * this many of the time.
+         * A round lasts at least this many times as long as its planning, so that planning takes at most
+         * 1/[MIN_ROUND_PER_PLANNING] of the time.
          */
         const val MIN_ROUND_PER_PLANNING = 30
 
--- a/src/main/kotlin/umberslip/provisioning/ProvisioningMetrics.kt
+++ b/src/main/kotlin/umberslip/provisioning/ProvisioningMetrics.kt
@@ -8,8 +8,8 @@
 import kotlin.time.DurationUnit
 
 /**
- * Publishes the outcomes of provisioning requests, the number and age of unresolved requests, and how long work has
- * been waiting for machines and jobs for their first task.
+ * Publishes the outcomes of provisioning requests, the number and age of unresolved requests, how long work has been
+ * waiting for machines, and how long jobs have been waiting for their first task.
  */
 internal class ProvisioningMetrics(
     private val clock: Clock,
--- a/src/main/kotlin/umberslip/provisioning/ProvisioningOutcome.kt
+++ b/src/main/kotlin/umberslip/provisioning/ProvisioningOutcome.kt
@@ -14,6 +14,6 @@
     /** The cloud refused the attempt for now; the attempt was certainly not carried out. */
     REFUSED,
 
-    /** There was no response, or an unreadable one: the request may have been carried out, or may yet be. */
+    /** There was no response, or an unreadable one. The request may have been or may still be carried out. */
     INDETERMINATE,
 }
--- a/src/main/kotlin/umberslip/provisioning/ProvisioningRequests.kt
+++ b/src/main/kotlin/umberslip/provisioning/ProvisioningRequests.kt
@@ -32,7 +32,10 @@
     private val backoff = OfferBackoff()
     private var currentRequests = TermRequests()
 
-    /** The requests of one term. A call that outlasts its term continues with these, which nothing else uses then. */
+    /**
+     * The requests of one term. A call that is still running when its term has ended keeps using this object, and no
+     * other call uses it any more.
+     */
     private class TermRequests {
         val unresolved = UnresolvedRequests()
         var requestCount = 0
@@ -53,13 +56,13 @@
         backoff.clear()
     }
 
-    /** Whether [offer] recently had less capacity than requested, or a request for it was rejected. */
+    /** Returns whether [offer] recently had less capacity than requested, or a request for it was rejected. */
     fun isBackedOff(
         offer: Offer,
         now: Duration,
     ): Boolean = backoff.isBackedOff(offer, now)
 
-    /** Whether any offer is backed off because a request for it was rejected. */
+    /** Returns whether any offer is backed off because a request for it was rejected. */
     fun hasRejectedOffer(now: Duration): Boolean = backoff.hasRejectedOffer(now)
 
     /** Returns the machines that unresolved requests may have provisioned; plans count them as booting. */
@@ -96,8 +99,8 @@
     }
 
     /**
-     * Whether [requests] and [term], from which request names are built, are still current and the lease permits
-     * requests.
+     * Returns whether [requests] and [term], from which request names are built, are still current and the lease
+     * permits requests.
      */
     private fun maySend(
         requests: TermRequests,
--- a/src/main/kotlin/umberslip/provisioning/Supply.kt
+++ b/src/main/kotlin/umberslip/provisioning/Supply.kt
@@ -27,10 +27,10 @@
     var hasPendingWork = false
         private set
 
-    /** Whether a task can ever be placed on the machine, once other tasks have ended. */
+    /** Returns whether a task can ever be placed on the machine, once other tasks have ended. */
     fun canHold(task: Resources): Boolean = resourcesBesideEndless.covers(task)
 
-    /** How many tasks the machine can hold at the same time, once other tasks have ended. */
+    /** Returns how many tasks the machine can hold at the same time, once other tasks have ended. */
     fun placesFor(task: Resources): Int = if (canHold(task)) resourcesBesideEndless.countOf(task) else 0
 
     /** Assigns pending work that blocks [cpus] to this machine. */
@@ -81,7 +81,7 @@
     private fun addMachine(machine: MachineSnapshot) {
         val resources = machine.capacity ?: return
         if (machine.isQuarantined || machine.timeUntilInterruption != null) return
-        if (machine.sinceContact == null || machine.sinceContact > UNRESPONSIVE_AFTER) return
+        if (machine.sinceContact == null || machine.sinceContact > MAX_CONTACT_AGE) return
         busyCpus[machine.name] = blockedCpus(machine, resources, demand.drainSeconds)
         val blocked = blockedCpus(machine, resources, demand.drainSecondsWhenUp)
         machines +=
@@ -129,6 +129,6 @@
 
     private companion object {
         /** A machine without contact for longer than this, which is several heartbeats, is left out of plans. */
-        val UNRESPONSIVE_AFTER = 6.seconds
+        val MAX_CONTACT_AGE = 6.seconds
     }
 }
--- a/src/main/kotlin/umberslip/provisioning/UnprovisionedWork.kt
+++ b/src/main/kotlin/umberslip/provisioning/UnprovisionedWork.kt
@@ -98,7 +98,7 @@
     }
 
     private companion object {
-        /** A single request that fails and is repeated takes no longer than this. */
+        /** A wait in which only a single request fails and is repeated lasts no longer than this and is not logged. */
         val LOG_DELAY = 10.seconds
     }
 }
--- a/src/main/kotlin/umberslip/provisioning/UnresolvedRequests.kt
+++ b/src/main/kotlin/umberslip/provisioning/UnresolvedRequests.kt
@@ -42,7 +42,7 @@
         requests[request] = Attempts(attempts + 1, now + wait)
     }
 
-    /** Whether the request was sent more than once, in which case an earlier attempt may have been carried out. */
+    /** Returns whether the request was sent more than once. If so, an earlier attempt may have been carried out. */
     fun wasRepeated(request: NamedRequest): Boolean = (requests[request]?.count ?: 0) > 1
 
     /** Removes a request whose outcome is known. */
--- a/src/main/kotlin/umberslip/provisioning/UnresponsiveMachines.kt
+++ b/src/main/kotlin/umberslip/provisioning/UnresponsiveMachines.kt
@@ -17,7 +17,7 @@
     private val workers: WorkerSettings,
 ) {
     private val timeout = workers.lease * LEASE_SHARE
-    private val inContactWithin = workers.heartbeatInterval * HEARTBEATS_MISSED
+    private val inContactWithin = workers.heartbeatInterval * MAX_MISSED_HEARTBEATS
 
     /** Returns the unresponsive machines among [machines], which are all machines that the leader knows. */
     fun find(machines: List<MachineSnapshot>): List<MachineName> {
@@ -32,8 +32,8 @@
     }
 
     /**
-     * Whether the lease of a machine has expired, so that its tasks are certainly stopped. Machines of a partitioned
-     * zone return without tasks when the partition heals, so they count only after [PARTITION_TIMEOUT].
+     * Returns whether the lease of a machine has expired, so that its tasks are certainly stopped. Machines of a
+     * partitioned zone return without tasks when the partition heals, so they count only after [PARTITION_TIMEOUT].
      */
     private fun isExpired(
         machine: MachineSnapshot,
@@ -44,8 +44,8 @@
             (!zone.isPartitioned || machine.sinceAnyContact > PARTITION_TIMEOUT)
 
     /**
-     * Whether a machine that is out of contact has tasks, while most of all machines and most of its zone are in
-     * contact. A machine that is known only from the records has no zone, so only most of all machines must be in
+     * Returns whether a machine that is out of contact has tasks, while most of all machines and most of its zone are
+     * in contact. A machine that is known only from the records has no zone, so only most of all machines must be in
      * contact.
      */
     private fun isLostWithTasks(
@@ -74,6 +74,6 @@
         private const val LEASE_SHARE = 0.8
 
         /** Heartbeats get lost or arrive late; a machine that has missed no more than this many is in contact. */
-        private const val HEARTBEATS_MISSED = 3
+        private const val MAX_MISSED_HEARTBEATS = 3
     }
 }
