--- a/src/main/kotlin/umberslip/records/RecordEvent.kt
+++ b/src/main/kotlin/umberslip/records/RecordEvent.kt
@@ -21,7 +21,7 @@
         val machineNames: Set<MachineName>,
     ) : RecordEvent
 
-    /** A leader was elected, or [leader] is null because the leader resigned or its lease expired. */
+    /** A leader was elected, or [leader] is null because the leader stepped down or its lease expired. */
     data class LeaderChanged(
         val leader: Versioned<LeaderRecord>?,
     ) : RecordEvent
--- a/src/main/kotlin/umberslip/records/RecordWatcher.kt
+++ b/src/main/kotlin/umberslip/records/RecordWatcher.kt
@@ -104,7 +104,7 @@
 
     private fun readCompleted(confirmed: Boolean) {
         isReading = false
-        // The longer interval applies after an unexpected failure, too.
+        // [FAILURE_INTERVAL] also applies if the read ended with an unexpected exception.
         lastReadFailed = !confirmed
         val answered = currentCallers
         currentCallers = ArrayList()
@@ -208,13 +208,16 @@
     }
 
     private companion object {
-        /** Between reads that callers wait for: short compared with a heartbeat interval, long compared with a read. */
+        /**
+         * The minimum interval between reads. It is short compared with a heartbeat interval and long compared with the
+         * duration of a read.
+         */
         val MIN_INTERVAL = 70.milliseconds
 
-        /** Between reads while they fail, to reduce the load on a failing key-value store. */
+        /** The minimum interval after a failed read; it reduces the load on a failing key-value store. */
         val FAILURE_INTERVAL = 250.milliseconds
 
-        /** Between reads that no caller requested; they pick up what other controllers wrote. */
+        /** The interval between reads that no caller requested. These reads pick up what other controllers wrote. */
         val IDLE_INTERVAL = 300.milliseconds
     }
 }
